--- a/libs/authentication/src/authentication.cpp
+++ b/libs/authentication/src/authentication.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-result<caller_identity> identify(const routing_table& table, bool openToAll, std::string_view key)
+result<caller_identity> identify(const routing_table& table, bool allowsAnonymous, std::string_view key)
 {
     if (table.customers.empty())
         return caller_identity {};
     const auto* customer = table.customers.byKey(key);
-    if (customer || openToAll)
+    if (customer || allowsAnonymous)
         return caller_identity { customer };
     return notRun(
         failure_kind::unauthorized, key.empty() ? "a key is wanted" : "the key belongs to no customer");
@@ -21,17 +21,18 @@
 
 result<caller_identity> authenticate(const routing_table& table, const route& matched, std::string_view key)
 {
-    return identify(table, matched.openToAll, key);
+    return identify(table, matched.allowsAnonymous, key);
 }
 
 result<caller_identity> authenticateJobCall(
     const routing_table& table, std::string_view host, std::string_view key)
 {
-    const bool openToAll
+    const bool allowsAnonymous
         = key.empty() && std::any_of(table.routes.begin(), table.routes.end(), [&](const route& candidate) {
-              return candidate.kind == request_kind::batch && candidate.openToAll && candidate.host == host;
+              return candidate.kind == request_kind::batch && candidate.allowsAnonymous
+                  && candidate.host == host;
           });
-    return identify(table, openToAll, key);
+    return identify(table, allowsAnonymous, key);
 }
 
 } // namespace yuccachute
--- a/libs/authentication/tests/test_authentication.cpp
+++ b/libs/authentication/tests/test_authentication.cpp
@@ -15,7 +15,7 @@
     closed.kind = request_kind::streaming;
     route open = closed;
     open.prefix = "/open/";
-    open.openToAll = true;
+    open.allowsAnonymous = true;
     table.routes = { closed, open };
     const std::vector<std::string> keys { "key-1", "key-2" };
     table.customers.add({ "firm", 1, 82, 82, 0 }, keys);
--- a/libs/batch/src/item_runner.cpp
+++ b/libs/batch/src/item_runner.cpp
@@ -93,7 +93,7 @@
     auto zones = settings->zonesOf(item.service);
     std::stable_partition(zones.begin(), zones.end(), [&](const auto& zone) { return zone == m_zone; });
     const auto now = std::chrono::steady_clock::now();
-    grant_ask ask;
+    slot_request ask;
     ask.customer = item.customer;
     ask.workClass = work_class::bulk;
     ask.hold = itemTimeout;
--- a/libs/bulk/include/bulk/bulk.h
+++ b/libs/bulk/include/bulk/bulk.h
@@ -143,7 +143,7 @@
 enum class run_end : std::uint8_t {
     whole, ///< All events have been received.
     broken, ///< It broke off, was revoked, or was refused; it goes on behind its last event.
-    cut, ///< Broken off by the target, or answered in a way that means nothing; may be repeated.
+    aborted, ///< Broken off by the target, or answered in a way that means nothing; may be repeated.
     failed, ///< The target failed on it.
     impossible ///< The target says that it can never be done.
 };
--- a/libs/bulk/src/bulk_job.cpp
+++ b/libs/bulk/src/bulk_job.cpp
@@ -131,7 +131,7 @@
             return settle(index, false, now);
         break;
     case run_end::broken:
-    case run_end::cut:
+    case run_end::aborted:
         break;
     }
     m_waiting.push_back(index);
--- a/libs/bulk/tests/test_bulk.cpp
+++ b/libs/bulk/tests/test_bulk.cpp
@@ -151,7 +151,7 @@
     CHECK(pauseAfterCuts(1000) == milliseconds { 2000 });
     auto held = job(1);
     held.next();
-    held.ended(0, run_end::cut, at(1));
+    held.ended(0, run_end::aborted, at(1));
     CHECK(held.waiting() == 1);
 }
 
--- a/libs/bulk_process/include/bulk_process/bulk_process.h
+++ b/libs/bulk_process/include/bulk_process/bulk_process.h
@@ -32,16 +32,16 @@
     milliseconds wait { 0 };
 };
 
-struct read_body_call {
+struct read_item_body_call {
     std::string jobId;
     std::string itemId;
 };
 
-struct end_job_call {
+struct cancel_job_call {
     std::string jobId;
 };
 
-using bulk_call = std::variant<read_results_call, read_body_call, end_job_call>;
+using bulk_job_call = std::variant<read_results_call, read_item_body_call, cancel_job_call>;
 
 /// An operator's order to empty a VM.
 struct retirement_order {
@@ -54,7 +54,7 @@
 public:
     virtual ~bulk_protocol() = default;
     /// Nothing if the request is no call on an existing job.
-    virtual std::optional<bulk_call> parseCall(const http_request& request) const = 0;
+    virtual std::optional<bulk_job_call> parseCall(const http_request& request) const = 0;
     /// A submission; the failure names the field.
     virtual result<bulk_record> parseSubmission(const http_request& request) const = 0;
     /// Results from a position on, up to a bound in bytes but at least one if there is one.
@@ -208,7 +208,7 @@
 };
 
 /// Runs the batch process until it is told to stop. Returns the exit code.
-int runBulk(const process_settings& settings, const bulk_adapter& adapter,
+int runBulkProcess(const process_settings& settings, const bulk_adapter& adapter,
     const std::function<std::unique_ptr<async_store>(http_client&)>& connect);
 
 } // namespace yuccachute
--- a/libs/bulk_process/src/bulk_process.cpp
+++ b/libs/bulk_process/src/bulk_process.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr milliseconds tickInterval { 50 };
-constexpr registration::times registrationTimes { milliseconds { 2000 }, milliseconds { 400 } };
+constexpr registration::timing registrationTimes { milliseconds { 2000 }, milliseconds { 400 } };
 constexpr milliseconds stopPoll { 20 };
 constexpr milliseconds endMargin { 1000 };
 constexpr std::size_t keptPerTarget = 24;
@@ -26,9 +26,9 @@
     , m_rpc({})
     , m_self(ownRecord(settings))
     , m_loads(m_client, adapter.loads)
-    , m_suspects(m_loop, m_loads, m_figures, m_rpc, m_store, [this] { return m_fleet.otherEntries(); })
-    , m_fleet(
-          m_loop, m_store, m_suspects.spread, adapter.documents, m_self, fleetOptions(settings), listeners())
+    , m_suspects(m_loop, m_loads, m_figures, m_rpc, m_store, [this] { return m_fleet.otherEntryAddresses(); })
+    , m_fleet(m_loop, m_store, m_suspects.replicator, adapter.documents, m_self, fleetOptions(settings),
+          listeners())
     , m_registration(m_loop, m_store, m_self, registrationTimes)
     , m_broker(m_loop, m_rpc, { m_self.vm, m_self.zone, "" })
     , m_items { m_loop, m_broker, m_client, adapter.callers, m_suspects.guard }
@@ -52,9 +52,9 @@
         m_metrics = serveMetrics(m_loop, m_settings.address + ':' + std::to_string(m_settings.metricsPort),
             m_figures, [this] { refreshFigures(); });
     m_fleet.start();
-    m_fleet.offerSelf();
+    m_fleet.joinFleet();
     m_registration.start();
-    m_suspects.archive.load([this] { m_suspects.spread.publish(); });
+    m_suspects.archive.load([this] { m_suspects.replicator.publishSnapshot(); });
     m_ticker = std::make_unique<loop_ticker>(m_loop, tickInterval, [this] { tick(); });
     m_loop.onSignals({ SIGTERM, SIGINT, SIGHUP }, [this](int signal) { signalled(signal); });
     logEvent(log_level::info, "started",
@@ -80,7 +80,7 @@
 fleet_watch::listeners bulk_process::listeners()
 {
     return { [] {}, [this](auto changes) { targetsChanged(changes); }, [this] { nodesChanged(); },
-        [this] { m_retirement.ordersChanged(m_fleet.orders()); } };
+        [this] { m_retirement.ordersChanged(m_fleet.operatorKeys()); } };
 }
 
 void bulk_process::targetsChanged(std::span<const target_change> changes)
@@ -189,7 +189,7 @@
     m_figures.set("yuccachute_targets_age_ms", static_cast<double>(m_fleet.targetsAge(now()).count()));
 }
 
-int runBulk(const process_settings& settings, const bulk_adapter& adapter,
+int runBulkProcess(const process_settings& settings, const bulk_adapter& adapter,
     const std::function<std::unique_ptr<async_store>(http_client&)>& connect)
 {
     return bulk_process(settings, adapter, connect).run();
--- a/libs/bulk_process/src/item_run.cpp
+++ b/libs/bulk_process/src/item_run.cpp
@@ -33,18 +33,18 @@
 
     void start()
     {
-        place_request wanted;
+        slot_requirements wanted;
         wanted.requestId = m_order.itemId;
         wanted.service = m_order.service;
         wanted.customer = m_order.customer;
         wanted.workClass = work_class::bulk;
         wanted.cost = m_order.cost;
-        wanted.latest = std::chrono::steady_clock::now() + placeWait;
+        wanted.grantDeadline = std::chrono::steady_clock::now() + placeWait;
         wanted.hold
             = std::chrono::duration_cast<milliseconds>(m_order.expiry - std::chrono::steady_clock::now());
         wanted.due = m_order.due;
         m_askedAt = std::chrono::steady_clock::now();
-        m_ask = m_services.places.acquire(std::move(wanted), [this](result<place> found) {
+        m_ask = m_services.places.acquire(std::move(wanted), [this](result<held_slot> found) {
             m_ask.reset();
             if (!found)
                 return unplaced(found.error().message);
@@ -70,7 +70,7 @@
         m_pause.armAt(m_askedAt + leastTry, [this, reason] { end(run_end::broken, reason); });
     }
 
-    void send(place taken)
+    void send(held_slot taken)
     {
         m_place = std::move(taken);
         m_target = m_place->target;
@@ -104,9 +104,9 @@
             if (error.ran != verdict::not_run)
                 tellGuard(error);
             release(outcomeOfCut());
-            end(run_end::cut, error.message);
+            end(run_end::aborted, error.message);
         };
-        if (m_services.guard.watching())
+        if (m_services.guard.hasSuspects())
             m_recordWhenSent = m_services.guard.record(identityOf(m_order.request, m_order.customer));
         m_call = m_services.targets.start(m_place->address,
             m_services.callers.forTarget(m_order.request, envelope), options, std::move(events));
@@ -144,7 +144,7 @@
             return end(run_end::broken, "another target has the address");
         }
         const bool half = m_status == 200 && m_splitter.midEvent();
-        if (!half && m_framed && m_services.guard.watching())
+        if (!half && m_framed && m_services.guard.hasSuspects())
             m_services.guard.answered(identityOf(m_order.request, m_order.customer));
         if (m_status == 200 && !half) {
             release(grant_outcome::ok);
@@ -156,7 +156,7 @@
             return end(run_end::impossible, "the target says that it can never be done");
         if (m_status == failedStatus)
             return end(run_end::failed, "the target failed on it");
-        end(run_end::cut, "status " + std::to_string(m_status));
+        end(run_end::aborted, "status " + std::to_string(m_status));
     }
 
     /// Live work needs the place: the run stops at its last whole event.
@@ -176,9 +176,9 @@
     {
         const auto identity = identityOf(m_order.request, m_order.customer);
         if (error.kind == failure_kind::timeout)
-            m_services.guard.fellSilent(identity, m_recordWhenSent, { m_target, m_address });
+            m_services.guard.targetUnresponsive(identity, m_recordWhenSent, { m_target, m_address });
         else
-            m_services.guard.cut(identity, m_recordWhenSent, { m_target, m_address }, nullptr);
+            m_services.guard.aborted(identity, m_recordWhenSent, { m_target, m_address }, nullptr);
     }
 
     grant_outcome outcomeOfCut() const
@@ -216,12 +216,12 @@
     loop_timer m_pause;
     steady_time m_askedAt;
     event_splitter m_splitter;
-    std::shared_ptr<place_ask> m_ask;
+    std::shared_ptr<slot_acquisition> m_ask;
     std::shared_ptr<client_call> m_call;
-    std::optional<place> m_place;
+    std::optional<held_slot> m_place;
     std::string m_target;
     std::string m_address;
-    record_of_strikes m_recordWhenSent; ///< What was known against the item when it was sent.
+    strike_record m_recordWhenSent; ///< What was known against the item when it was sent.
     answer_meaning m_meaning = answer_meaning::own;
     unsigned m_status = 0;
     bool m_framed = false; ///< The answer's end can be told from a cut connection.
--- a/libs/bulk_process/src/item_run.h
+++ b/libs/bulk_process/src/item_run.h
@@ -7,7 +7,7 @@
 /// What the runs of items share.
 struct item_services {
     event_loop& loop;
-    place_broker& places;
+    slot_broker& places;
     http_client& targets;
     const caller_protocol& callers;
     request_guard& guard;
--- a/libs/bulk_process/src/job_calls.cpp
+++ b/libs/bulk_process/src/job_calls.cpp
@@ -96,9 +96,9 @@
     if (!matched)
         return {};
     const auto* customer = table->customers.byName(record.customer);
-    const bool ownLimit = customer && customer->mostWaitingTokens > 0;
+    const bool ownLimit = customer && customer->maxPendingTokens > 0;
     return { jobIdOf(record.customer, matched->name),
-        ownLimit ? customer->mostWaitingTokens : matched->mostWaitingTokens };
+        ownLimit ? customer->maxPendingTokens : matched->maxPendingTokens };
 }
 
 bool bulk_process::current(const held_job& held) const
@@ -106,7 +106,7 @@
     if (held.openRevision == 0)
         return true; // Finished or ended: it cannot change any more.
     return m_checkedGeneration == m_registration.generation()
-        && bootTime() - m_registration.confirmed() < memoryValidity;
+        && bootClockNow() - m_registration.lastConfirmed() < memoryValidity;
 }
 
 void bulk_process::serve(std::shared_ptr<http_exchange> caller, const read_results_call& call)
@@ -184,7 +184,7 @@
     m_keeper.load(id, tell);
 }
 
-void bulk_process::serve(std::shared_ptr<http_exchange> caller, const read_body_call& call)
+void bulk_process::serve(std::shared_ptr<http_exchange> caller, const read_item_body_call& call)
 {
     const auto tell = [itemId = call.itemId](http_exchange& to, const bulk_job& job) {
         for (const auto& item : job.record().items) {
@@ -199,7 +199,7 @@
     withStored(std::move(caller), call.jobId, tell);
 }
 
-void bulk_process::serve(std::shared_ptr<http_exchange> caller, const end_job_call& call)
+void bulk_process::serve(std::shared_ptr<http_exchange> caller, const cancel_job_call& call)
 {
     if (refusedWhileStoreAway(*caller))
         return;
--- a/libs/bulk_process/src/job_runs.cpp
+++ b/libs/bulk_process/src/job_runs.cpp
@@ -42,7 +42,7 @@
     const auto table = m_fleet.configuration();
     const auto* matched
         = table && !record.items.empty() ? table->match(record.host, record.items.front().path) : nullptr;
-    return now() + (matched ? matched->resultsDue : milliseconds { 0 }) - age;
+    return now() + (matched ? matched->completionWindow : milliseconds { 0 }) - age;
 }
 
 held_job bulk_process::build(job_keeper::stored_job stored)
@@ -218,10 +218,10 @@
 bool bulk_process::heldBack(held_job& held, std::uint32_t index, const item_order& order)
 {
     auto& guard = m_suspects.guard;
-    if (!guard.watching())
+    if (!guard.hasSuspects())
         return false;
     const auto identity = identityOf(order.request, order.customer);
-    if (guard.known().of(identity, now()) != quarantine::standing::refused)
+    if (guard.known().statusOf(identity, now()) != quarantine::status::refused)
         return false;
     if (held.waitedOut.erase(index) > 0)
         return false;
@@ -259,13 +259,14 @@
     const std::string target = run == held.runs.end() ? "" : run->second->target();
     const bool placed = !target.empty();
     held.runs.erase(index);
-    putBack(id, index, how, how == run_end::cut ? pauseAfterCuts(++held.cuts[index]) : milliseconds { 0 });
+    putBack(
+        id, index, how, how == run_end::aborted ? pauseAfterCuts(++held.cuts[index]) : milliseconds { 0 });
     m_figures.count("yuccachute_item_runs_total", "end",
-        how == run_end::whole        ? "whole"
-            : how == run_end::broken ? (placed ? "broken" : "no place")
-            : how == run_end::cut    ? "cut"
-            : how == run_end::failed ? "failed"
-                                     : "impossible");
+        how == run_end::whole         ? "whole"
+            : how == run_end::broken  ? (placed ? "broken" : "no place")
+            : how == run_end::aborted ? "cut"
+            : how == run_end::failed  ? "failed"
+                                      : "impossible");
     if (placed)
         logEvent(how == run_end::whole ? log_level::info : log_level::warning, "item run",
             { { "job", id }, { "item", held.job->record().items[index].id }, { "target", target },
--- a/libs/bulk_process/src/job_takeover.cpp
+++ b/libs/bulk_process/src/job_takeover.cpp
@@ -68,7 +68,7 @@
 
 bool bulk_process::mayTake(const job_keeper::open_job& job) const
 {
-    if (m_leaving || !m_fleet.nodesSettled(now()) || m_taking.contains(job.id))
+    if (m_leaving || !m_fleet.nodeListReliable(now()) || m_taking.contains(job.id))
         return false;
     auto nodes = m_fleet.registered(node_role::batch);
     const bool holderLives = std::any_of(nodes.begin(), nodes.end(), [&](const auto& node) {
--- a/libs/bulk_process/src/process.h
+++ b/libs/bulk_process/src/process.h
@@ -91,8 +91,8 @@
     /// Reads a job that nobody alive holds, with its holder as the store has just told it.
     void loadFor(std::shared_ptr<http_exchange> caller, const std::string& id,
         const std::optional<job_keeper::open_job>& open, job_reader use);
-    void serve(std::shared_ptr<http_exchange> caller, const read_body_call& call);
-    void serve(std::shared_ptr<http_exchange> caller, const end_job_call& call);
+    void serve(std::shared_ptr<http_exchange> caller, const read_item_body_call& call);
+    void serve(std::shared_ptr<http_exchange> caller, const cancel_job_call& call);
 
     // --- Jobs
     bulk_limits limitsOf(const bulk_record& record, milliseconds age) const;
@@ -167,7 +167,7 @@
     shared_guard m_suspects;
     fleet_watch m_fleet;
     registration m_registration;
-    place_broker m_broker;
+    slot_broker m_broker;
     item_services m_items;
     job_keeper m_keeper;
     open_lookup m_lookup;
--- a/libs/dispatch/include/dispatch/dispatch.h
+++ b/libs/dispatch/include/dispatch/dispatch.h
@@ -28,7 +28,7 @@
 // ------------------------------------------------------------------
 
 /// Asks for a place at one of the group's targets.
-struct grant_ask {
+struct slot_request {
     std::uint64_t holder = 0; ///< Session that asks; all its asks go when it goes.
     std::uint64_t id = 0; ///< Unique within the holder.
     std::string requestId; ///< By which the target names the run in its load report; may be empty.
@@ -41,7 +41,7 @@
     std::string avoid; ///< Target that has just failed this request; taken only if there is no other.
     steady_time deadline; ///< Latest useful time of a grant.
     /// The place is wanted at once or not at all, to look for one elsewhere; the deadline is not looked at.
-    bool atOnce = false;
+    bool immediate = false;
     /// Longest time for which a grant may be held, should its release be lost; 0 for until the deadline.
     milliseconds hold { 0 };
     steady_time due; ///< Bulk only: when the job is due.
@@ -49,28 +49,28 @@
 };
 
 /// A place at a target. The holder talks to the target itself and releases the grant afterwards.
-struct grant_given {
+struct slot_grant {
     std::uint64_t holder = 0;
-    std::uint64_t askId = 0;
+    std::uint64_t slotRequestId = 0;
     std::uint64_t grantId = 0;
     std::string target;
     std::string address;
     milliseconds waited { 0 };
 };
 
-struct grant_refused {
+struct slot_refusal {
     std::uint64_t holder = 0;
-    std::uint64_t askId = 0;
+    std::uint64_t slotRequestId = 0;
     failure reason; ///< Always not_run.
 };
 
 /// Tells the holder of a bulk grant to stop its item at once; it still releases the grant.
-struct grant_revoked {
+struct grant_revocation {
     std::uint64_t holder = 0;
     std::uint64_t grantId = 0;
 };
 
-using decision = std::variant<grant_given, grant_refused, grant_revoked>;
+using decision = std::variant<slot_grant, slot_refusal, grant_revocation>;
 
 enum class grant_outcome : std::uint8_t {
     ok,
@@ -255,7 +255,7 @@
     {
     }
 
-    void push(grant_ask ask, steady_time now);
+    void push(slot_request ask, steady_time now);
     bool empty() const { return m_size == 0; }
     std::size_t size() const { return m_size; }
     std::size_t sizeOf(std::string_view customer) const;
@@ -264,18 +264,18 @@
     double shareOf(std::string_view customer, double weight) const;
 
     /// The next ask in order, or null.
-    const grant_ask* front() const;
+    const slot_request* front() const;
     /// Removes the next ask and returns it with the time for which it waited.
-    std::pair<grant_ask, steady_time> pop();
+    std::pair<slot_request, steady_time> pop();
 
     /// Removes and returns asks past their deadline.
-    std::vector<grant_ask> takeExpired(steady_time now);
+    std::vector<slot_request> takeExpired(steady_time now);
     bool remove(std::uint64_t holder, std::uint64_t id);
     void removeHolder(std::uint64_t holder);
 
 private:
     struct waiting {
-        grant_ask ask;
+        slot_request ask;
         double start = 0;
         std::uint64_t arrival = 0;
         steady_time since;
@@ -294,7 +294,7 @@
 
     const backlog* next() const;
     bool goesBefore(const waiting& left, const waiting& right) const;
-    template <typename Predicate> std::vector<grant_ask> takeIf(Predicate predicate);
+    template <typename Predicate> std::vector<slot_request> takeIf(Predicate predicate);
 
     order m_order;
     std::map<std::string, backlog, std::less<>> m_customers;
@@ -446,7 +446,7 @@
     fair_queue::order order = fair_queue::order::fair;
     bool randomChoice = false; ///< Baseline: any target with room, without regard to load and prefixes.
     /// How long a target that refused a request is left alone; 0 for until its next load report.
-    milliseconds refusalPause { 0 };
+    milliseconds refusalBackoff { 0 };
     std::optional<fair_queue::order> bulkOrder; ///< Of waiting bulk asks; as the order of live ones if unset.
     /// A slot that a live request has left is kept for the next one for so long; 0 to give it to bulk work at
     /// once.
@@ -462,7 +462,7 @@
     /// What a cached prompt is worth at the choice of a target, in shares of its slots.
     double affinity = 0.6;
     /// Whether targets are asked for load reports when reportsDue() says so.
-    bool asksForReports = false;
+    bool pollsLoadReports = false;
     /// So many targets are in use at least, if there are; more as they are needed. Wide enough that the loss
     /// of a tenth of them, or the first requests of a peak, find others that have reported.
     std::size_t leastTargets = 32;
@@ -501,18 +501,18 @@
     /// Single targets have come or changed, and others have gone.
     void changeTargets(
         std::span<const target_description> changed, std::span<const std::string> removed, steady_time now);
-    void ask(grant_ask ask, steady_time now);
-    void withdraw(std::uint64_t holder, std::uint64_t askId, steady_time now);
+    void ask(slot_request ask, steady_time now);
+    void withdraw(std::uint64_t holder, std::uint64_t slotRequestId, steady_time now);
     void release(const grant_release& release, steady_time now);
     /// What was asked for with a grant that is held; null if there is no such grant any more.
-    const grant_ask* askOf(std::uint64_t grantId) const;
+    const slot_request* requestOfGrant(std::uint64_t grantId) const;
     void report(std::string_view target, const load_report& report, steady_time now);
     /// The target did not answer when asked for its load.
     void reportUnreachable(std::string_view target, steady_time now);
     /// Targets to ask for their load now; each is named once until the answer, or its lack, is reported.
     std::vector<report_due> reportsDue(steady_time now);
     /// The target was named by reportsDue() and has not answered.
-    void reportMissing(std::string_view target, steady_time now);
+    void recordMissedReport(std::string_view target, steady_time now);
     /// The holder's connection is gone: its asks go, its grants stay until they lapse, because the target may
     /// still be working on them.
     void dropHolder(std::uint64_t holder, steady_time now);
@@ -540,7 +540,7 @@
         std::deque<steady_time> liveLeft; ///< When live requests left slots that are kept for others.
     };
     struct grant_record {
-        grant_ask ask;
+        slot_request ask;
         std::string target;
         steady_time since;
         steady_time lapses;
@@ -554,14 +554,14 @@
     unsigned freeSlots(const target_state& target, steady_time now) const;
     /// Free slots that bulk work may take.
     unsigned spareSlots(const target_state& target, steady_time now) const;
-    double costOf(const grant_ask& ask, const target_state& target, steady_time now) const;
-    target_state* chooseTarget(const grant_ask& ask, bool needFreeSlot, steady_time now);
-    bool refuseHopeless(const grant_ask& ask, steady_time now);
-    milliseconds expectedWait(const grant_ask& ask, steady_time now) const;
+    double costOf(const slot_request& ask, const target_state& target, steady_time now) const;
+    target_state* chooseTarget(const slot_request& ask, bool needFreeSlot, steady_time now);
+    bool refuseHopeless(const slot_request& ask, steady_time now);
+    milliseconds expectedWait(const slot_request& ask, steady_time now) const;
     /// Refuses a live ask for lack of room.
-    void refuseForLoad(const grant_ask& ask, std::string why, steady_time now);
+    void refuseForLoad(const slot_request& ask, std::string why, steady_time now);
     bulk_situation situation(steady_time now) const;
-    void give(grant_ask ask, target_state& target, steady_time since, steady_time now);
+    void give(slot_request ask, target_state& target, steady_time since, steady_time now);
     void pump(steady_time now);
     bool pumpLive(steady_time now);
     bool pumpBulk(steady_time now);
@@ -577,7 +577,7 @@
     void restTargets(steady_time now);
     void keepForLive(target_state& target, steady_time now) const;
     void adapt(steady_time now);
-    void refuse(const grant_ask& ask, failure reason);
+    void refuse(const slot_request& ask, failure reason);
     void refuseExpired(steady_time now);
 
     group_options m_options;
--- a/libs/dispatch/src/fair_queue.cpp
+++ b/libs/dispatch/src/fair_queue.cpp
@@ -14,7 +14,7 @@
     return std::string(service) + '/' + std::string(zone) + '/' + std::to_string(number);
 }
 
-void fair_queue::push(grant_ask ask, steady_time now)
+void fair_queue::push(slot_request ask, steady_time now)
 {
     auto& customer = m_customers[ask.customer];
     customer.weight = std::max(ask.weight, 1e-6);
@@ -72,13 +72,13 @@
     return best;
 }
 
-const grant_ask* fair_queue::front() const
+const slot_request* fair_queue::front() const
 {
     const auto* best = next();
     return best ? &best->asks.front().ask : nullptr;
 }
 
-std::pair<grant_ask, steady_time> fair_queue::pop()
+std::pair<slot_request, steady_time> fair_queue::pop()
 {
     auto& best = const_cast<backlog&>(*next());
     auto head = std::move(best.asks.front());
@@ -92,9 +92,9 @@
     return { std::move(head.ask), head.since };
 }
 
-template <typename Predicate> std::vector<grant_ask> fair_queue::takeIf(Predicate predicate)
+template <typename Predicate> std::vector<slot_request> fair_queue::takeIf(Predicate predicate)
 {
-    std::vector<grant_ask> taken;
+    std::vector<slot_request> taken;
     for (auto& [name, backlog] : m_customers) {
         auto kept = backlog.asks.begin();
         for (auto& entry : backlog.asks) {
@@ -109,19 +109,19 @@
     return taken;
 }
 
-std::vector<grant_ask> fair_queue::takeExpired(steady_time now)
+std::vector<slot_request> fair_queue::takeExpired(steady_time now)
 {
-    return takeIf([now](const grant_ask& ask) { return ask.deadline <= now; });
+    return takeIf([now](const slot_request& ask) { return ask.deadline <= now; });
 }
 
 bool fair_queue::remove(std::uint64_t holder, std::uint64_t id)
 {
-    return !takeIf([=](const grant_ask& ask) { return ask.holder == holder && ask.id == id; }).empty();
+    return !takeIf([=](const slot_request& ask) { return ask.holder == holder && ask.id == id; }).empty();
 }
 
 void fair_queue::removeHolder(std::uint64_t holder)
 {
-    takeIf([=](const grant_ask& ask) { return ask.holder == holder; });
+    takeIf([=](const slot_request& ask) { return ask.holder == holder; });
 }
 
 } // namespace yuccachute
--- a/libs/dispatch/src/target_group.cpp
+++ b/libs/dispatch/src/target_group.cpp
@@ -43,7 +43,7 @@
 {
     m_options.policy = options.policy;
     m_options.randomChoice = options.randomChoice;
-    m_options.refusalPause = options.refusalPause;
+    m_options.refusalBackoff = options.refusalBackoff;
     if (options.order == m_options.order)
         return;
     m_options.order = options.order;
@@ -131,7 +131,7 @@
 {
     auto& target = m_targets[description.name];
     target = {};
-    target.load = target_load(m_options.asksForReports, now);
+    target.load = target_load(m_options.pollsLoadReports, now);
     target.description = std::move(description);
 }
 
@@ -225,7 +225,7 @@
 std::vector<report_due> target_group::reportsDue(steady_time now)
 {
     std::vector<report_due> due;
-    if (!m_options.asksForReports || now - m_lastAsk > activeFor)
+    if (!m_options.pollsLoadReports || now - m_lastAsk > activeFor)
         return due;
     for (auto& [name, target] : m_targets) {
         if (target.load.takeDue(now))
@@ -234,7 +234,7 @@
     return due;
 }
 
-void target_group::reportMissing(std::string_view target, steady_time now)
+void target_group::recordMissedReport(std::string_view target, steady_time now)
 {
     const auto found = m_targets.find(target);
     if (found == m_targets.end())
@@ -261,7 +261,7 @@
 }
 
 /// What it costs to send an ask to a target: its load in shares of its slots, less what cached prefixes save.
-double target_group::costOf(const grant_ask& ask, const target_state& target, steady_time now) const
+double target_group::costOf(const slot_request& ask, const target_state& target, steady_time now) const
 {
     const auto& name = target.description.name;
     const double used = target.live + target.bulk + foreignWork(target, now);
@@ -273,7 +273,7 @@
 }
 
 target_group::target_state* target_group::chooseTarget(
-    const grant_ask& ask, bool needFreeSlot, steady_time now)
+    const slot_request& ask, bool needFreeSlot, steady_time now)
 {
     target_state* best = nullptr;
     double bestCost = 0;
@@ -293,7 +293,7 @@
     return best;
 }
 
-milliseconds target_group::expectedWait(const grant_ask& ask, steady_time now) const
+milliseconds target_group::expectedWait(const slot_request& ask, steady_time now) const
 {
     unsigned slots = 0;
     for (const auto& [name, target] : m_targets) {
@@ -312,22 +312,22 @@
     return milliseconds { std::llround(ahead * m_serviceTimeMs / slots / share) };
 }
 
-void target_group::refuse(const grant_ask& ask, failure reason)
+void target_group::refuse(const slot_request& ask, failure reason)
 {
-    m_decisions.emplace_back(grant_refused { ask.holder, ask.id, std::move(reason) });
+    m_decisions.emplace_back(slot_refusal { ask.holder, ask.id, std::move(reason) });
 }
 
-void target_group::refuseForLoad(const grant_ask& ask, std::string why, steady_time now)
+void target_group::refuseForLoad(const slot_request& ask, std::string why, steady_time now)
 {
     const auto wait = expectedWait(ask, now);
-    if (ask.atOnce) // It will be asked for again in a queue.
+    if (ask.immediate) // It will be asked for again in a queue.
         return refuse(ask, notRun(failure_kind::overloaded, std::move(why), wait));
     m_spells.refused(now);
     refuse(ask, notRun(failure_kind::overloaded, std::move(why), std::max(wait, m_spells.returnAfter(now))));
 }
 
 /// A request that cannot be served in time is told so at once, and when to come back.
-bool target_group::refuseHopeless(const grant_ask& ask, steady_time now)
+bool target_group::refuseHopeless(const slot_request& ask, steady_time now)
 {
     const bool anyUsable = std::any_of(
         m_targets.begin(), m_targets.end(), [&](const auto& entry) { return usable(entry.second, now); });
@@ -346,14 +346,14 @@
                 std::max(wait, leastRetryAfter)));
         return true;
     }
-    if (!ask.atOnce && now + wait * m_options.waitMargin > ask.deadline) {
+    if (!ask.immediate && now + wait * m_options.waitMargin > ask.deadline) {
         refuseForLoad(ask, "the queue is longer than the request's timeout", now);
         return true;
     }
     return false;
 }
 
-void target_group::ask(grant_ask ask, steady_time now)
+void target_group::ask(slot_request ask, steady_time now)
 {
     m_lastAsk = now;
     useMoreTargets(now);
@@ -367,16 +367,16 @@
     if (ask.workClass == work_class::live)
         m_arrivals.record(now);
     auto& queue = ask.workClass == work_class::live ? m_live : m_bulk;
-    const bool atOnce = ask.atOnce;
-    if (atOnce)
+    const bool immediate = ask.immediate;
+    if (immediate)
         ask.deadline = now; // What is not granted by the end of this step has expired.
     queue.push(std::move(ask), now);
     pump(now);
-    if (atOnce)
+    if (immediate)
         refuseExpired(now);
 }
 
-void target_group::give(grant_ask ask, target_state& target, steady_time since, steady_time now)
+void target_group::give(slot_request ask, target_state& target, steady_time since, steady_time now)
 {
     const auto waited = std::chrono::duration_cast<milliseconds>(now - since);
     (ask.workClass == work_class::live ? target.live : target.bulk) += 1;
@@ -385,7 +385,7 @@
     m_prefixes.record(ask.prefixes, target.description.name, now);
     const auto id = m_nextGrant++;
     m_decisions.emplace_back(
-        grant_given { ask.holder, ask.id, id, target.description.name, target.description.address, waited });
+        slot_grant { ask.holder, ask.id, id, target.description.name, target.description.address, waited });
     if (ask.workClass == work_class::live) {
         if (const auto* adaptive = std::get_if<adaptive_bulk>(&m_options.policy))
             m_liveHarmed = m_liveHarmed || waited > adaptive->longestLiveWait;
@@ -478,7 +478,7 @@
     auto& record = m_grants.at(grantId);
     record.revoked = true;
     ++m_targets.find(record.target)->second.revoked;
-    m_decisions.emplace_back(grant_revoked { record.ask.holder, grantId });
+    m_decisions.emplace_back(grant_revocation { record.ask.holder, grantId });
 }
 
 void target_group::pump(steady_time now)
@@ -490,10 +490,10 @@
     while (pumpBulk(now)) { }
 }
 
-void target_group::withdraw(std::uint64_t holder, std::uint64_t askId, steady_time now)
+void target_group::withdraw(std::uint64_t holder, std::uint64_t slotRequestId, steady_time now)
 {
-    if (!m_live.remove(holder, askId))
-        m_bulk.remove(holder, askId);
+    if (!m_live.remove(holder, slotRequestId))
+        m_bulk.remove(holder, slotRequestId);
     pump(now);
 }
 
@@ -535,8 +535,8 @@
         auto& state = target->second;
         if (release.outcome == grant_outcome::ok)
             state.health.succeeded(now);
-        if (release.outcome == grant_outcome::refused && m_options.refusalPause.count() > 0) {
-            state.refusedUntil = now + m_options.refusalPause;
+        if (release.outcome == grant_outcome::refused && m_options.refusalBackoff.count() > 0) {
+            state.refusedUntil = now + m_options.refusalBackoff;
             state.load.askNow(now);
         } else if (release.outcome == grant_outcome::refused) {
             state.load.refusedByItself(now);
@@ -554,7 +554,7 @@
     pump(now);
 }
 
-const grant_ask* target_group::askOf(std::uint64_t grantId) const
+const slot_request* target_group::requestOfGrant(std::uint64_t grantId) const
 {
     const auto found = m_grants.find(grantId);
     return found == m_grants.end() ? nullptr : &found->second.ask;
--- a/libs/dispatch/tests/test_dispatch.cpp
+++ b/libs/dispatch/tests/test_dispatch.cpp
@@ -19,9 +19,10 @@
     return group;
 }
 
-grant_ask makeAsk(std::uint64_t id, work_class workClass = work_class::live, std::string customer = "armor")
+slot_request makeAsk(
+    std::uint64_t id, work_class workClass = work_class::live, std::string customer = "armor")
 {
-    grant_ask ask;
+    slot_request ask;
     ask.holder = 1;
     ask.id = id;
     ask.customer = std::move(customer);
@@ -48,14 +49,14 @@
     auto group = makeGroup(adaptive_bulk {}, 2, 2);
     for (std::uint64_t id = 1; id <= 6; ++id)
         group.ask(makeAsk(id), start);
-    const auto given = only<grant_given>(group.takeDecisions());
+    const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 4);
     CHECK(given[0].target != given[1].target);
     CHECK(group.summary(start).liveWaiting == 2);
     group.release({ given[0].grantId, grant_outcome::ok, 5ms, 3 }, start + 10ms);
-    const auto next = only<grant_given>(group.takeDecisions());
+    const auto next = only<slot_grant>(group.takeDecisions());
     REQUIRE(next.size() == 1);
-    CHECK(next[0].askId == 5);
+    CHECK(next[0].slotRequestId == 5);
     CHECK(next[0].target == given[0].target);
 }
 
@@ -67,24 +68,24 @@
     auto now = start;
     for (int i = 0; i < 100; ++i)
         group.tick(now += 20ms);
-    const auto bulk = only<grant_given>(group.takeDecisions());
+    const auto bulk = only<slot_grant>(group.takeDecisions());
     CHECK(bulk.size() == 6);
     for (std::uint64_t id = 101; id <= 105; ++id)
         group.ask(makeAsk(id), now);
     const auto decisions = group.takeDecisions();
     // Two free places, and three of items that are told to leave: nobody waits for their answer.
-    CHECK(only<grant_given>(decisions).size() == 5);
-    const auto revoked = only<grant_revoked>(decisions);
+    CHECK(only<slot_grant>(decisions).size() == 5);
+    const auto revoked = only<grant_revocation>(decisions);
     REQUIRE(revoked.size() == 3);
     CHECK(revoked[0].grantId == bulk.back().grantId);
     group.ask(makeAsk(106), now);
-    CHECK(only<grant_revoked>(group.takeDecisions()).size() == 1);
+    CHECK(only<grant_revocation>(group.takeDecisions()).size() == 1);
     // What was revoked frees no second place when it is released.
     for (const auto& one : revoked)
         group.release({ one.grantId, grant_outcome::abandoned, 0ms, 0 }, now + 5ms);
     for (std::uint64_t id = 107; id <= 110; ++id)
         group.ask(makeAsk(id), now + 5ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 2);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 2);
     CHECK(group.summary(now + 5ms).live == 8);
     CHECK(group.summary(now + 5ms).liveWaiting == 2);
 }
@@ -131,7 +132,7 @@
     int sentToFailing = 0;
     const auto sendOne = [&](bool healthy) {
         group.ask(makeAsk(++id), now);
-        const auto given = only<grant_given>(group.takeDecisions());
+        const auto given = only<slot_grant>(group.takeDecisions());
         REQUIRE(given.size() == 1);
         const bool bad = given[0].target == "t0";
         sentToFailing += bad;
@@ -167,7 +168,7 @@
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 1);
     group.ask(makeAsk(1), start);
-    auto given = only<grant_given>(group.takeDecisions());
+    auto given = only<slot_grant>(group.takeDecisions());
     group.release({ given[0].grantId, grant_outcome::ok, 1ms, 1 }, start + 400ms);
     for (std::uint64_t id = 2; id <= 7; ++id)
         group.ask(makeAsk(id), start + 400ms);
@@ -175,7 +176,7 @@
     auto hurried = makeAsk(8);
     hurried.deadline = start + 1400ms;
     group.ask(hurried, start + 400ms);
-    const auto refused = only<grant_refused>(group.takeDecisions());
+    const auto refused = only<slot_refusal>(group.takeDecisions());
     REQUIRE(refused.size() == 1);
     CHECK(refused[0].reason.ran == verdict::not_run);
     CHECK(refused[0].reason.retryAfter == 2000ms);
@@ -189,12 +190,12 @@
     for (; ask.id <= 3; ++ask.id)
         group.ask(ask, start);
     const auto decisions = group.takeDecisions();
-    CHECK(only<grant_given>(decisions).size() == 1);
-    REQUIRE(only<grant_refused>(decisions).size() == 1);
+    CHECK(only<slot_grant>(decisions).size() == 1);
+    REQUIRE(only<slot_refusal>(decisions).size() == 1);
     group.tick(start + 31s);
-    const auto expired = only<grant_refused>(group.takeDecisions());
+    const auto expired = only<slot_refusal>(group.takeDecisions());
     REQUIRE(expired.size() == 1);
-    CHECK(expired[0].askId == 2);
+    CHECK(expired[0].slotRequestId == 2);
 }
 
 TEST_CASE("draining and leaving targets get nothing new")
@@ -203,13 +204,13 @@
     group.report("t0", { 0, 0, 4, 0, true }, start);
     for (std::uint64_t id = 1; id <= 4; ++id)
         group.ask(makeAsk(id), start);
-    for (const auto& given : only<grant_given>(group.takeDecisions()))
+    for (const auto& given : only<slot_grant>(group.takeDecisions()))
         CHECK(given.target == "t1");
     const std::vector<target_description> drained { { "t0", "127.0.0.1:7000", 4, true },
         { "t1", "127.0.0.1:7001", 4, true } };
     group.setTargets(drained, start);
     group.ask(makeAsk(5), start);
-    const auto refused = only<grant_refused>(group.takeDecisions());
+    const auto refused = only<slot_refusal>(group.takeDecisions());
     REQUIRE(refused.size() == 1);
     CHECK(refused[0].reason.kind == failure_kind::unavailable);
 }
@@ -218,15 +219,15 @@
 {
     auto group = makeGroup(adaptive_bulk {}, 2, 4);
     group.ask(makeAsk(1), start);
-    const auto first = only<grant_given>(group.takeDecisions())[0];
+    const auto first = only<slot_grant>(group.takeDecisions())[0];
     group.release({ first.grantId, grant_outcome::refused, 0ms, 0 }, start);
     for (std::uint64_t id = 2; id <= 5; ++id)
         group.ask(makeAsk(id), start);
-    for (const auto& given : only<grant_given>(group.takeDecisions()))
+    for (const auto& given : only<slot_grant>(group.takeDecisions()))
         CHECK(given.target != first.target);
     group.report(first.target, { 0, 0, 4, 0, false }, start + 1s);
     group.ask(makeAsk(6), start + 1s);
-    CHECK(only<grant_given>(group.takeDecisions())[0].target == first.target);
+    CHECK(only<slot_grant>(group.takeDecisions())[0].target == first.target);
 }
 
 TEST_CASE("a shared prefix goes where it was cached, until that target is much fuller")
@@ -239,7 +240,7 @@
         auto ask = makeAsk(id);
         ask.prefixes = prefixes;
         group.ask(ask, start);
-        targets.push_back(only<grant_given>(group.takeDecisions())[0].target);
+        targets.push_back(only<slot_grant>(group.takeDecisions())[0].target);
     }
     CHECK(targets[0] == targets[1]);
     CHECK(targets[1] == targets[2]);
@@ -252,9 +253,9 @@
     group.report("t0", { 3, 0, 4, 0, false }, start);
     for (std::uint64_t id = 1; id <= 4; ++id)
         group.ask(makeAsk(id), start);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 1);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
     group.report("t0", { 1, 0, 4, 0, false }, start + 100ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 3);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 3);
 }
 
 // Story: a target that has just finished eight requests is reported with eight running, because its report
@@ -265,20 +266,20 @@
     auto group = makeGroup(adaptive_bulk {}, 1, 4);
     for (std::uint64_t id = 1; id <= 4; ++id)
         group.ask(makeAsk(id), start);
-    for (const auto& given : only<grant_given>(group.takeDecisions()))
+    for (const auto& given : only<slot_grant>(group.takeDecisions()))
         group.release({ given.grantId, grant_outcome::ok, 1ms, 1 }, start + 500ms);
     group.report("t0", { 4, 0, 4, 0, false }, start + 600ms);
     for (std::uint64_t id = 5; id <= 8; ++id)
         group.ask(makeAsk(id), start + 600ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 4);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 4);
     for (std::uint64_t id = 9; id <= 12; ++id)
         group.ask(makeAsk(id), start + 600ms);
-    CHECK(only<grant_given>(group.takeDecisions()).empty());
+    CHECK(only<slot_grant>(group.takeDecisions()).empty());
     // Long after, the same report can only mean others' work.
     auto later = makeGroup(adaptive_bulk {}, 1, 4);
     later.report("t0", { 4, 0, 4, 0, false }, start + 10s);
     later.ask(makeAsk(1), start + 10s);
-    CHECK(only<grant_given>(later.takeDecisions()).empty());
+    CHECK(only<slot_grant>(later.takeDecisions()).empty());
 }
 
 // Story: bulk items that run for a minute are forgotten after the few seconds for which they were willing to
@@ -292,7 +293,7 @@
         ask.hold = 600s;
         group.ask(ask, start);
     }
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 2);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 2);
     group.tick(start + 60s);
     CHECK(group.summary(start + 60s).bulk == 2);
     group.tick(start + 603s);
@@ -311,9 +312,9 @@
     other.holder = 2;
     group.takeDecisions();
     group.ask(other, start);
-    CHECK(only<grant_given>(group.takeDecisions()).empty());
+    CHECK(only<slot_grant>(group.takeDecisions()).empty());
     group.tick(start + 2s);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 1);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
 TEST_CASE("budgets refill by rate and share")
@@ -340,14 +341,14 @@
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 1);
     auto first = makeAsk(1);
-    first.atOnce = true;
+    first.immediate = true;
     first.deadline = start;
     group.ask(first, start + 5ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 1);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
     auto second = makeAsk(2);
-    second.atOnce = true;
+    second.immediate = true;
     group.ask(second, start + 6ms);
-    const auto refused = only<grant_refused>(group.takeDecisions());
+    const auto refused = only<slot_refusal>(group.takeDecisions());
     REQUIRE(refused.size() == 1);
     CHECK(refused[0].reason.ran == verdict::not_run);
     CHECK(group.summary(start + 6ms).liveWaiting == 0);
@@ -370,11 +371,11 @@
     group.takeDecisions();
     for (std::uint64_t id = 100; id < 104; ++id) {
         auto live = makeAsk(id);
-        live.atOnce = true;
+        live.immediate = true;
         group.ask(live, start + 10ms);
         const auto decisions = group.takeDecisions();
-        CHECK(only<grant_given>(decisions).size() == 1);
-        CHECK(only<grant_revoked>(decisions).size() == 1);
+        CHECK(only<slot_grant>(decisions).size() == 1);
+        CHECK(only<grant_revocation>(decisions).size() == 1);
     }
     CHECK(group.summary(start).live == 4);
 }
@@ -393,12 +394,12 @@
         ask.due = start + due;
         group.ask(ask, start);
     }
-    for (const auto& given : only<grant_given>(group.takeDecisions()))
-        askOfGrant[given.grantId] = given.askId;
+    for (const auto& given : only<slot_grant>(group.takeDecisions()))
+        askOfGrant[given.grantId] = given.slotRequestId;
     std::vector<std::uint64_t> order;
     for (std::uint64_t id = 100; id < 103; ++id) {
         group.ask(makeAsk(id), start + 1ms);
-        for (const auto& revoked : only<grant_revoked>(group.takeDecisions()))
+        for (const auto& revoked : only<grant_revocation>(group.takeDecisions()))
             order.push_back(askOfGrant.at(revoked.grantId));
     }
     CHECK(order == std::vector<std::uint64_t> { 2, 1, 3 });
@@ -424,8 +425,8 @@
     group_options options;
     options.policy = spare_bulk {};
     options.bulkOrder = fair_queue::order::due;
-    options.refusalPause = 150ms;
-    options.asksForReports = true;
+    options.refusalBackoff = 150ms;
+    options.pollsLoadReports = true;
     target_group group(options);
     std::vector<target_description> all;
     for (unsigned i = 0; i < targets; ++i)
@@ -434,11 +435,11 @@
     return group;
 }
 
-grant_ask namedAsk(std::uint64_t id, bool atOnce = false)
+slot_request namedAsk(std::uint64_t id, bool immediate = false)
 {
     auto ask = makeAsk(id);
     ask.requestId = "r" + std::to_string(id);
-    ask.atOnce = atOnce;
+    ask.immediate = immediate;
     return ask;
 }
 
@@ -465,7 +466,7 @@
     group.report("t0", runningReport({ "x", "y" }), start + 5ms);
     CHECK(group.takeDecisions().empty());
     group.report("t1", runningReport({ "z" }), start + 6ms);
-    const auto given = only<grant_given>(group.takeDecisions());
+    const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 1);
     CHECK(given[0].target == "t1");
     // The work of others is looked at again soon, and its places are used as they come free.
@@ -473,7 +474,7 @@
     CHECK(group.takeDecisions().empty());
     CHECK(group.reportsDue(start + 110ms).size() == 2);
     group.report("t0", runningReport({ "x" }), start + 115ms);
-    REQUIRE(only<grant_given>(group.takeDecisions()).size() == 1);
+    REQUIRE(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
 // Story: the first callers of a new dispatcher were refused at once, on an idle fleet: until the first
@@ -487,7 +488,7 @@
     CHECK(group.takeDecisions().empty());
     group.reportsDue(start);
     group.report("t0", runningReport({}), start + 5ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 1);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
 TEST_CASE("a target that cannot tell its load is used after a moment")
@@ -495,10 +496,10 @@
     auto group = makeReportingGroup(1, 2);
     group.ask(namedAsk(1), start);
     group.reportsDue(start);
-    group.reportMissing("t0", start + 100ms);
+    group.recordMissedReport("t0", start + 100ms);
     CHECK(group.takeDecisions().empty());
     group.tick(start + 150ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 1);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
 // Story: a zone is cut off for five seconds. The holders of its items close their connections, but the
@@ -511,7 +512,7 @@
     group.report("t0", runningReport({}), start);
     group.ask(namedAsk(1), start);
     group.ask(namedAsk(2), start);
-    REQUIRE(only<grant_given>(group.takeDecisions()).size() == 2);
+    REQUIRE(only<slot_grant>(group.takeDecisions()).size() == 2);
     group.dropHolder(1, start + 100ms);
     group.tick(start + 2200ms); // The grants have lapsed.
     auto late = namedAsk(3);
@@ -521,7 +522,7 @@
     group.ask(late, start + 3010ms);
     CHECK(group.takeDecisions().empty());
     group.report("t0", runningReport({ "r2" }), start + 3100ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 1);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
 TEST_CASE("own requests in a report, running, waiting or just ended, are not the work of others")
@@ -532,14 +533,14 @@
     group.ask(namedAsk(1), start);
     group.ask(namedAsk(2), start);
     group.ask(namedAsk(3), start);
-    const auto given = only<grant_given>(group.takeDecisions());
+    const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 3);
     group.release({ given[0].grantId, grant_outcome::ok, 5ms, 3 }, start + 500ms);
     // The report is a little old: r1 still runs in it, r3 waits.
     group.report("t0", runningReport({ "r1", "r2" }, 1), start + 520ms);
     group.ask(namedAsk(4), start + 530ms);
     group.ask(namedAsk(5), start + 530ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 2);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 2);
 }
 
 // Story: a target goes dark. Each request that may not run twice was sent to it until its own deadline, 5 s
@@ -551,19 +552,19 @@
         group.report(name, runningReport({}), start);
     group.ask(namedAsk(1), start);
     group.takeDecisions();
-    group.reportMissing("t0", start + 250ms);
-    group.reportMissing("t0", start + 600ms);
+    group.recordMissedReport("t0", start + 250ms);
+    group.recordMissedReport("t0", start + 600ms);
     for (std::uint64_t id = 2; id <= 5; ++id)
         group.ask(namedAsk(id, true), start + 610ms);
-    for (const auto& given : only<grant_given>(group.takeDecisions()))
+    for (const auto& given : only<slot_grant>(group.takeDecisions()))
         CHECK(given.target == "t1");
-    group.reportMissing("t1", start + 700ms);
-    group.reportMissing("t1", start + 1000ms);
+    group.recordMissedReport("t1", start + 700ms);
+    group.recordMissedReport("t1", start + 1000ms);
     group.ask(namedAsk(6), start + 1010ms);
-    CHECK(only<grant_given>(group.takeDecisions()).size() == 1);
+    CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
     group.report("t0", runningReport({}), start + 1100ms);
     group.ask(namedAsk(7), start + 1110ms);
-    const auto given = only<grant_given>(group.takeDecisions());
+    const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 1);
     CHECK(given[0].target == "t0");
 }
@@ -582,7 +583,7 @@
     // Requests take a second: a place comes free every 100 ms.
     for (std::uint64_t id = 1; id <= 10; ++id)
         group.ask(makeAsk(id), start);
-    for (const auto& given : only<grant_given>(group.takeDecisions()))
+    for (const auto& given : only<slot_grant>(group.takeDecisions()))
         group.release({ given.grantId, grant_outcome::ok, 30ms, 0 }, start + 1s);
     for (std::uint64_t id = 11; id <= 20; ++id)
         group.ask(makeAsk(id), start + 1s);
@@ -593,9 +594,9 @@
         group.ask(ask, start + 1s);
     }
     // Those with 0, 1 and 2 ahead: 1.7 times 200 ms would be too long for the third.
-    const auto refused = only<grant_refused>(group.takeDecisions());
+    const auto refused = only<slot_refusal>(group.takeDecisions());
     REQUIRE(refused.size() == 2);
-    CHECK(refused[0].askId == 23);
+    CHECK(refused[0].slotRequestId == 23);
     CHECK(refused[0].reason.ran == verdict::not_run);
     CHECK(refused[0].reason.retryAfter >= 200ms);
 }
--- a/libs/dispatch/tests/test_fairness.cpp
+++ b/libs/dispatch/tests/test_fairness.cpp
@@ -9,9 +9,9 @@
 
 const steady_time start = steady_time {} + 1h;
 
-grant_ask askOf(std::string customer, std::uint64_t id, double weight = 1)
+slot_request askOf(std::string customer, std::uint64_t id, double weight = 1)
 {
-    grant_ask ask;
+    slot_request ask;
     ask.id = id;
     ask.customer = std::move(customer);
     ask.weight = weight;
--- a/libs/dispatch/tests/test_working_set.cpp
+++ b/libs/dispatch/tests/test_working_set.cpp
@@ -16,7 +16,7 @@
 {
     group_options options;
     options.policy = spare_bulk {};
-    options.asksForReports = true;
+    options.pollsLoadReports = true;
     return options;
 }
 
@@ -55,7 +55,7 @@
             ++reports;
             asked.insert(due.target);
             if (dark)
-                group.reportMissing(due.target, now);
+                group.recordMissedReport(due.target, now);
             else
                 group.report(due.target, reportOf(due.target), now);
         }
@@ -68,7 +68,7 @@
         report.runs.emplace();
         for (const auto& [id, place] : held) {
             if (place.target == target)
-                report.runs->push_back(std::to_string(place.askId));
+                report.runs->push_back(std::to_string(place.slotRequestId));
         }
         report.running = static_cast<unsigned>(report.runs->size());
         return report;
@@ -76,9 +76,9 @@
     void take()
     {
         for (const auto& one : group.takeDecisions()) {
-            if (const auto* given = std::get_if<grant_given>(&one))
+            if (const auto* given = std::get_if<slot_grant>(&one))
                 held.emplace(given->grantId, *given);
-            else if (std::holds_alternative<grant_refused>(one))
+            else if (std::holds_alternative<slot_refusal>(one))
                 ++refused;
         }
     }
@@ -86,10 +86,10 @@
     void ask(std::size_t count)
     {
         for (std::size_t i = 0; i < count; ++i) {
-            grant_ask ask;
+            slot_request ask;
             ask.id = ++lastAsk;
             ask.requestId = std::to_string(ask.id);
-            ask.atOnce = true;
+            ask.immediate = true;
             ask.hold = milliseconds { 600000 };
             group.ask(ask, now);
         }
@@ -105,7 +105,7 @@
     steady_time now { std::chrono::seconds { 1000 } };
     std::vector<target_description> all;
     target_group group { askingForReports() };
-    std::map<std::uint64_t, grant_given> held;
+    std::map<std::uint64_t, slot_grant> held;
     std::set<std::string> asked;
     std::size_t reports = 0;
     std::size_t refused = 0;
--- a/libs/entry/src/cluster.cpp
+++ b/libs/entry/src/cluster.cpp
@@ -56,7 +56,7 @@
 {
     const std::scoped_lock lock(m_mutex);
     std::vector<std::string> addresses;
-    for (const auto& member : rankMembers(group, m_members.workingMembers(zone)))
+    for (const auto& member : rankMembers(group, m_members.eligibleMembers(zone)))
         addresses.push_back(member.address);
     return addresses;
 }
@@ -122,7 +122,7 @@
     gossip_message message;
     message.zone = m_options.zone;
     for (const auto& member : digestFor(zone))
-        message.notes.push_back(noteOf(member));
+        message.notes.push_back(heartbeatOf(member));
     return message;
 }
 
@@ -130,7 +130,7 @@
 {
     std::vector<member_info> found;
     for (const auto& member : m_members.digest()) {
-        if (std::find(ids.begin(), ids.end(), noteOf(member).id) != ids.end())
+        if (std::find(ids.begin(), ids.end(), heartbeatOf(member).id) != ids.end())
             found.push_back(member);
     }
     return found;
@@ -145,7 +145,7 @@
         const auto now = std::chrono::steady_clock::now();
         m_members.setSettingsVersion(m_settings.version());
         m_members.merge(news.members, now);
-        auto wanted = m_members.mergeNotes(news.notes, now);
+        auto wanted = m_members.mergeHeartbeats(news.notes, now);
         if (!news.notes.empty())
             answer = describe(news.zone);
         answer.zone = m_options.zone;
@@ -211,7 +211,7 @@
     rest.zone = m_options.zone;
     {
         const std::scoped_lock lock(m_mutex);
-        rest.wanted = m_members.mergeNotes(answer.value().notes, std::chrono::steady_clock::now());
+        rest.wanted = m_members.mergeHeartbeats(answer.value().notes, std::chrono::steady_clock::now());
         rest.members = wantedMembers(answer.value().wanted);
     }
     if (!rest.wanted.empty() || !rest.members.empty()) {
@@ -271,7 +271,7 @@
 void cluster::updateOthersVersion()
 {
     const bool both = m_batchVersion != 0 && m_adminVersion != 0;
-    m_members.setOthersVersion(
+    m_members.setOtherProcessesVersion(
         both ? std::min(m_batchVersion, m_adminVersion) : std::max(m_batchVersion, m_adminVersion));
 }
 
@@ -342,7 +342,7 @@
 bool cluster::isWatcher() const
 {
     const std::scoped_lock lock(m_mutex);
-    const auto ranked = rankMembers("settings-watch", m_members.workingMembers(m_options.zone));
+    const auto ranked = rankMembers("settings-watch", m_members.eligibleMembers(m_options.zone));
     for (std::size_t i = 0; i < std::min(ranked.size(), watchersPerZone); ++i) {
         if (ranked[i].vm == m_options.vm)
             return true;
--- a/libs/entry/src/dispatcher_host.cpp
+++ b/libs/entry/src/dispatcher_host.cpp
@@ -114,16 +114,16 @@
 
 void dispatcher_host::ask(std::uint64_t session, ask_message message, envelope& answer)
 {
-    const auto askId = message.ask.id;
+    const auto slotRequestId = message.ask.id;
     const auto settings = m_settings.current();
     const auto described = settings->groups.find(message.group);
     if (described == settings->groups.end()) {
-        answer.refusals.push_back({ session, askId,
+        answer.refusals.push_back({ session, slotRequestId,
             notRun(failure_kind::unavailable, "no such target group", milliseconds { 1000 }) });
         return;
     }
     if (auto owner = m_owner(described->second); !owner.empty()) {
-        answer.moved.push_back({ askId, std::move(owner) });
+        answer.moved.push_back({ slotRequestId, std::move(owner) });
         return;
     }
     const auto hosted = findGroup(message.group);
@@ -133,8 +133,8 @@
         hosted->group.ask(std::move(message.ask), std::chrono::steady_clock::now());
     }
     // The acknowledgement tells a queue from a dead dispatcher; an ask that was decided at once needs none.
-    if (!deliver(*hosted, session, askId))
-        answer.moved.push_back({ askId, "" });
+    if (!deliver(*hosted, session, slotRequestId))
+        answer.moved.push_back({ slotRequestId, "" });
 }
 
 void dispatcher_host::sessionReceived(std::uint64_t session, envelope message)
@@ -152,7 +152,7 @@
     for (const auto& withdrawal : message.withdrawals) {
         if (const auto hosted = findGroup(withdrawal.group)) {
             const std::scoped_lock lock(hosted->mutex);
-            hosted->group.withdraw(session, withdrawal.askId, now);
+            hosted->group.withdraw(session, withdrawal.slotRequestId, now);
         }
     }
     envelope answer;
@@ -168,21 +168,21 @@
 bool dispatcher_host::deliver(hosted_group& hosted, std::uint64_t ownSession, std::uint64_t ownAsk)
 {
     bool ownDecided = false;
-    const auto note = [&](std::uint64_t holder, std::uint64_t askId) {
-        ownDecided = ownDecided || (holder == ownSession && askId == ownAsk);
+    const auto note = [&](std::uint64_t holder, std::uint64_t slotRequestId) {
+        ownDecided = ownDecided || (holder == ownSession && slotRequestId == ownAsk);
     };
     std::map<std::uint64_t, envelope> bySession;
     {
         const std::scoped_lock lock(hosted.mutex);
         for (auto& one : hosted.group.takeDecisions()) {
-            if (auto* given = std::get_if<grant_given>(&one)) {
-                note(given->holder, given->askId);
+            if (auto* given = std::get_if<slot_grant>(&one)) {
+                note(given->holder, given->slotRequestId);
                 bySession[given->holder].grants.push_back(std::move(*given));
-            } else if (auto* refused = std::get_if<grant_refused>(&one)) {
-                note(refused->holder, refused->askId);
+            } else if (auto* refused = std::get_if<slot_refusal>(&one)) {
+                note(refused->holder, refused->slotRequestId);
                 bySession[refused->holder].refusals.push_back(std::move(*refused));
             }
-            if (const auto* revoked = std::get_if<grant_revoked>(&one))
+            if (const auto* revoked = std::get_if<grant_revocation>(&one))
                 bySession[revoked->holder].revokes.push_back({ hosted.description.name, revoked->grantId });
         }
     }
--- a/libs/entry/src/dispatcher_host.h
+++ b/libs/entry/src/dispatcher_host.h
@@ -33,7 +33,7 @@
     std::shared_ptr<hosted_group> findGroup(const std::string& name);
     std::vector<std::shared_ptr<hosted_group>> allGroups() const;
     /// Sends what the group has decided. Returns whether an ask of a session was among it.
-    bool deliver(hosted_group& group, std::uint64_t session = 0, std::uint64_t askId = 0);
+    bool deliver(hosted_group& group, std::uint64_t session = 0, std::uint64_t slotRequestId = 0);
     void tick();
     void pollTargets(hosted_group& group);
     void ask(std::uint64_t session, ask_message message, envelope& answer);
--- a/libs/entry/src/live_requests.cpp
+++ b/libs/entry/src/live_requests.cpp
@@ -79,9 +79,9 @@
         return error;
     }
 
-    grant_ask makeAsk() const
+    slot_request makeAsk() const
     {
-        grant_ask ask;
+        slot_request ask;
         ask.customer = m_context.customer;
         ask.workClass = work_class::live;
         ask.weight = m_context.effective.weight;
--- a/libs/entry/src/places.cpp
+++ b/libs/entry/src/places.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-result<held_grant> self_choice::acquire(const group_description& group, grant_ask ask, std::size_t entries)
+result<held_grant> self_choice::acquire(const group_description& group, slot_request ask, std::size_t entries)
 {
     const auto now = std::chrono::steady_clock::now();
     auto targets = group.targets;
@@ -43,10 +43,10 @@
     chooser->ask(ask, now);
     chooser->withdraw(1, 1, now);
     for (const auto& decision : chooser->takeDecisions()) {
-        if (const auto* given = std::get_if<grant_given>(&decision))
+        if (const auto* given = std::get_if<slot_grant>(&decision))
             return held_grant { group.name, {}, given->grantId, given->target, given->address,
                 milliseconds { 0 }, std::make_shared<revocation>() };
-        if (const auto* refused = std::get_if<grant_refused>(&decision))
+        if (const auto* refused = std::get_if<slot_refusal>(&decision))
             return refused->reason;
     }
     return notRun(failure_kind::overloaded,
@@ -67,7 +67,7 @@
 /// One round through the zones. Sets ownShareUsed if no dispatcher answered and the entry's own share was in
 /// use.
 result<held_grant> searchZones(entry_services& services, request_context& context, const std::string& service,
-    const grant_ask& ask, bool& ownShareUsed)
+    const slot_request& ask, bool& ownShareUsed)
 {
     auto zones = context.settings->zonesOf(service);
     // The own zone first; the others in an order that spreads different prompts.
@@ -119,7 +119,7 @@
 /// targets. To refuse the rest would tell callers that there is no room while targets are free; the successor
 /// is only not there yet. So they wait for it, for as long as a takeover lasts.
 result<held_grant> findPlace(
-    entry_services& services, request_context& context, const std::string& service, const grant_ask& ask)
+    entry_services& services, request_context& context, const std::string& service, const slot_request& ask)
 {
     const auto until = std::min(context.deadline, std::chrono::steady_clock::now() + takeoverTime);
     for (;;) {
--- a/libs/entry/src/plain_requests.cpp
+++ b/libs/entry/src/plain_requests.cpp
@@ -106,7 +106,7 @@
     result<http_reply> once()
     {
         m_reachedTarget = false;
-        grant_ask ask;
+        slot_request ask;
         ask.customer = m_context.customer;
         ask.weight = m_context.effective.weight;
         ask.queueLimit = m_context.effective.queueLimit;
--- a/libs/entry/src/request_context.h
+++ b/libs/entry/src/request_context.h
@@ -12,7 +12,7 @@
 class self_choice {
 public:
     /// Takes a place at a target of the group, or fails at once.
-    result<held_grant> acquire(const group_description& group, grant_ask ask, std::size_t entries);
+    result<held_grant> acquire(const group_description& group, slot_request ask, std::size_t entries);
     void release(const held_grant& grant, grant_release figures);
 
 private:
@@ -53,7 +53,7 @@
 /// Finds a place for a request: at the own zone's groups first, then at other zones'. Falls back to choosing
 /// itself when no dispatcher answers.
 result<held_grant> findPlace(
-    entry_services& services, request_context& context, const std::string& service, const grant_ask& ask);
+    entry_services& services, request_context& context, const std::string& service, const slot_request& ask);
 
 /// Returns a place to whoever gave it.
 void returnPlace(entry_services& services, const held_grant& grant, const grant_release& figures);
--- a/libs/fleet/include/fleet/fleet.h
+++ b/libs/fleet/include/fleet/fleet.h
@@ -27,7 +27,7 @@
 public:
     virtual ~fleet_codec() = default;
     /// Prefix of what operators write; the configuration is one of its keys.
-    virtual std::string ordersPrefix() const = 0;
+    virtual std::string operatorPrefix() const = 0;
     virtual std::string configurationKey() const = 0;
     /// Prefix under which targets list themselves.
     virtual std::string targetsPrefix() const = 0;
@@ -82,12 +82,12 @@
 /// written along, and removed when the entry leaves.
 class registration {
 public:
-    struct times {
+    struct timing {
         milliseconds timeToLive { 4000 };
         milliseconds renewal { 1300 };
     };
 
-    registration(event_loop& loop, async_store& store, node_record self, times intervals);
+    registration(event_loop& loop, async_store& store, node_record self, timing intervals);
 
     void start();
     /// Says in the store that the process leaves.
@@ -96,7 +96,7 @@
     void end();
     /// When the last renewal that the store confirmed was sent, by a clock that counts suspended time. From
     /// then on the key existed at least until the next renewal failed, unless it was taken away.
-    steady_time confirmed() const { return m_confirmed; }
+    steady_time lastConfirmed() const { return m_confirmed; }
     /// How often the process has been registered anew. Whoever held something under the registration must
     /// look whether it still does after each time: it may have been taken by others in between.
     std::uint64_t generation() const { return m_generation; }
@@ -110,7 +110,7 @@
 
     async_store& m_store;
     node_record m_self;
-    times m_times;
+    timing m_times;
     loop_timer m_timer;
     std::int64_t m_lease = 0;
     steady_time m_confirmed;
@@ -120,7 +120,7 @@
 };
 
 /// A clock that also runs while the VM is suspended.
-steady_time bootTime();
+steady_time bootClockNow();
 
 struct fleet_options {
     std::vector<std::string> seeds; ///< host:port of entries to ask while none is known.
@@ -135,7 +135,7 @@
 fleet_options fleetOptions(const process_settings& settings);
 
 /// Whether others of its zone need an entry, for places at targets and for copies of the store.
-enum class offer_need : std::uint8_t {
+enum class registration_need : std::uint8_t {
     none,
     spare, ///< Enough are registered, but few could go at once.
     urgent
@@ -147,15 +147,15 @@
 /// An entry that is not needed does not register: the list of processes grows with the zones and not with the
 /// VMs. With all 250 entries of a fleet in it, starts and renewals would be a third of the calls of a
 /// quiet minute, and each restart is told to everybody.
-offer_need offerNeed(const node_record& self, std::span<const node_record> registered);
+registration_need registrationNeed(const node_record& self, std::span<const node_record> registered);
 
 /// How long an entry waits after its start before it looks whether it is needed: larger VMs first, so that
 /// the others find them registered.
-milliseconds firstOfferDelay(double cores);
+milliseconds initialRegistrationDelay(double cores);
 
 /// From the moment at which it sees the need, an entry decides after a part of this time that is drawn at
 /// random, so that the first ones are listed before the last ones decide.
-milliseconds longestOfferDelay(offer_need need, double cores);
+milliseconds maxRegistrationDelay(registration_need need, double cores);
 
 class store_watchers;
 
@@ -171,7 +171,7 @@
         std::function<void()> configuration; ///< A newer configuration is in force.
         std::function<void(std::span<const target_change>)> targets; ///< What has changed about them.
         std::function<void()> nodes;
-        std::function<void()> orders; ///< What operators wrote has changed.
+        std::function<void()> operatorKeys; ///< What operators wrote has changed.
     };
 
     fleet_watch(event_loop& loop, observed_store& store, peer_sync& peers, const fleet_codec& codec,
@@ -185,33 +185,33 @@
     /// others rely on its copies. Until then an entry has no use for all targets: it asks dispatchers for
     /// places, and needs some targets for the case that it is cut off from all of them. It holds a slice of
     /// the list, which does not grow with the fleet.
-    void offerSelf();
-    bool offered() const { return m_offered; }
+    void joinFleet();
+    bool hasJoined() const { return m_offered; }
 
     /// Null until one is known.
     std::shared_ptr<const routing_table> configuration() const { return m_configuration; }
     const target_directory& targets() const { return m_targets; }
     /// Whether a list of targets has been read; without one every request would be refused.
-    bool targetsKnown() const { return m_targetsMirror.known(); }
+    bool hasTargetList() const { return m_targetsMirror.known(); }
     /// Processes that are registered, and for a moment those whose registration has just lapsed. This process
     /// is among them if it has offered itself, or knows no other entry of its zone.
     std::vector<node_record> nodes(node_role role) const;
     /// Addresses of the entries among them, without this process.
-    std::vector<std::string> otherEntries() const;
+    std::vector<std::string> otherEntryAddresses() const;
     /// Processes that the store lists now.
     std::vector<node_record> registered(node_role role) const;
     /// Whether the list names this process, in this or a former start.
     bool listed() const { return m_nodes.contains(nodeKey(m_self)); }
     /// Entries that may own parts of customers' limits, registered or not.
     std::span<const share_record> shareRecords() const { return m_shareRecords; }
-    const store_section& orders() const { return m_ordersMirror.section(); }
+    const store_section& operatorKeys() const { return m_ordersMirror.section(); }
     bool storeConnected() const { return m_ordersMirror.connected(); }
     /// Since when the configuration, or the list of targets, may be another than the one in force here.
     milliseconds configurationAge(steady_time now) const { return ageOf(m_ordersMirror, now); }
     milliseconds targetsAge(steady_time now) const { return ageOf(m_targetsMirror, now); }
     /// Whether the list of processes was read from the store, and the store has been in reach long enough for
     /// lapsed entries to be back.
-    bool nodesSettled(steady_time now) const;
+    bool nodeListReliable(steady_time now) const;
 
     /// From any thread.
     store_contact storeContact() const { return { m_watches }; }
@@ -232,7 +232,7 @@
     struct published_section {
         std::shared_ptr<const section_history> history;
         section_standing standing; ///< As of the last tick, but for its age.
-        steady_time confirmed;
+        steady_time lastConfirmed;
     };
 
     void publish(const store_mirror& mirror);
@@ -247,7 +247,7 @@
     void logMissingTargets();
     static milliseconds ageOf(const store_mirror& mirror, steady_time now)
     {
-        return std::chrono::duration_cast<milliseconds>(now - mirror.confirmed());
+        return std::chrono::duration_cast<milliseconds>(now - mirror.lastConfirmed());
     }
     /// Of what callers' requests are decided by.
     milliseconds age(steady_time now) const { return std::max(configurationAge(now), targetsAge(now)); }
--- a/libs/fleet/src/fleet_watch.cpp
+++ b/libs/fleet/src/fleet_watch.cpp
@@ -103,7 +103,7 @@
     , m_self(std::move(self))
     , m_options(std::move(options))
     , m_notify(std::move(notify))
-    , m_ordersMirror(loop, store, codec.ordersPrefix(), milliseconds { 0 },
+    , m_ordersMirror(loop, store, codec.operatorPrefix(), milliseconds { 0 },
           [this](const auto& mirror, auto) { ordersChanged(mirror); })
     , m_targetsMirror(
           loop, store, codec.targetsPrefix(), pauseAfterTargets,
@@ -143,7 +143,7 @@
     m_nodesMirror.start(store_mirror::first_read::stale);
 }
 
-void fleet_watch::offerSelf()
+void fleet_watch::joinFleet()
 {
     m_offered = true;
     if (m_self.role == node_role::entry) {
@@ -166,7 +166,7 @@
     auto copy = std::make_shared<const section_history>(mirror.history());
     const auto standing = mirror.standing(std::chrono::steady_clock::now());
     const std::scoped_lock lock(m_publishedMutex);
-    m_published[copy->section().prefix] = { copy, standing, mirror.confirmed() };
+    m_published[copy->section().prefix] = { copy, standing, mirror.lastConfirmed() };
 }
 
 void fleet_watch::publishStandings()
@@ -177,9 +177,9 @@
         const auto found = m_published.find(mirror->section().prefix);
         if (found == m_published.end())
             continue;
-        auto& [history, standing, confirmed] = found->second;
+        auto& [history, standing, lastConfirmed] = found->second;
         standing = mirror->standing(now);
-        confirmed = mirror->confirmed();
+        lastConfirmed = mirror->lastConfirmed();
         // The store's revision moves on without a change of the section, which is not published anew.
         standing.revision = history->section().revision;
     }
@@ -195,7 +195,7 @@
         if (!copy.history)
             continue;
         answer.standings.push_back(copy.standing);
-        answer.standings.back().age = std::chrono::duration_cast<milliseconds>(now - copy.confirmed);
+        answer.standings.back().age = std::chrono::duration_cast<milliseconds>(now - copy.lastConfirmed);
         const auto& section = copy.history->section();
         const auto slice
             = asked.seed == 0 ? section_slice {} : sliceFor(section.entries.size(), asked.slice, asked.seed);
@@ -236,8 +236,8 @@
                 { "from_store", std::int64_t { mirror.connected() } } });
         m_notify.configuration();
     }
-    if (m_notify.orders)
-        m_notify.orders();
+    if (m_notify.operatorKeys)
+        m_notify.operatorKeys();
 }
 
 target_ptr fleet_watch::readTarget(const section_entry& entry) const
@@ -302,7 +302,7 @@
 
 void fleet_watch::dropMissingTargets()
 {
-    if (!m_targets.keepsMissing())
+    if (!m_targets.hasMissingTargets())
         return;
     const auto now = std::chrono::steady_clock::now();
     const bool gone = m_targetsMirror.settled(m_missingRevision);
@@ -460,7 +460,7 @@
 
 bool fleet_watch::inDoubt(steady_time now) const
 {
-    return age(now) > doubtAfter || m_targets.keepsMissing();
+    return age(now) > doubtAfter || m_targets.hasMissingTargets();
 }
 
 milliseconds fleet_watch::confirmDelay() const
@@ -476,7 +476,7 @@
         return;
     const auto after = confirmDelay();
     // What is missing since an outage has gone if the store still lacks it when lapsed entries are back.
-    const bool missing = m_targets.keepsMissing() && listsAreComplete(now);
+    const bool missing = m_targets.hasMissingTargets() && listsAreComplete(now);
     if (missing || targetsAge(now) > after)
         m_targetsMirror.confirm(now);
     if (configurationAge(now) > after)
@@ -643,7 +643,7 @@
     return found;
 }
 
-std::vector<std::string> fleet_watch::otherEntries() const
+std::vector<std::string> fleet_watch::otherEntryAddresses() const
 {
     std::vector<std::string> addresses;
     for (const auto& node : nodes(node_role::entry)) {
@@ -663,7 +663,7 @@
     return found;
 }
 
-bool fleet_watch::nodesSettled(steady_time now) const
+bool fleet_watch::nodeListReliable(steady_time now) const
 {
     return m_nodesMirror.known() && m_nodesMirror.connected() && m_direct && listsAreComplete(now);
 }
--- a/libs/fleet/src/node_record.cpp
+++ b/libs/fleet/src/node_record.cpp
@@ -72,7 +72,7 @@
     return isLarge(node, most);
 }
 
-offer_need offerNeed(const node_record& self, std::span<const node_record> registered)
+registration_need registrationNeed(const node_record& self, std::span<const node_record> registered)
 {
     double mostCores = self.cores;
     for (const auto& node : registered)
@@ -84,21 +84,21 @@
             && rank(node) > rank(self);
     });
     if (before < neededPerZone)
-        return offer_need::urgent;
-    return before < neededWithSpares ? offer_need::spare : offer_need::none;
+        return registration_need::urgent;
+    return before < neededWithSpares ? registration_need::spare : registration_need::none;
 }
 
-milliseconds firstOfferDelay(double cores)
+milliseconds initialRegistrationDelay(double cores)
 {
     if (cores <= 0)
         return longestFirstDelay;
     return std::min(longestFirstDelay, milliseconds { std::llround(offerDelayOfOneCore / cores) });
 }
 
-milliseconds longestOfferDelay(offer_need need, double cores)
+milliseconds maxRegistrationDelay(registration_need need, double cores)
 {
-    return need == offer_need::urgent
-        ? milliseconds { std::llround(firstOfferDelay(cores).count() * urgentSpreadInFirstDelays) }
+    return need == registration_need::urgent
+        ? milliseconds { std::llround(initialRegistrationDelay(cores).count() * urgentSpreadInFirstDelays) }
         : spareOfferSpread;
 }
 
@@ -128,7 +128,7 @@
         + node.vm;
 }
 
-steady_time bootTime()
+steady_time bootClockNow()
 {
     timespec now {};
     ::clock_gettime(CLOCK_BOOTTIME, &now);
--- a/libs/fleet/src/registration.cpp
+++ b/libs/fleet/src/registration.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-registration::registration(event_loop& loop, async_store& store, node_record self, times intervals)
+registration::registration(event_loop& loop, async_store& store, node_record self, timing intervals)
     : m_store(store)
     , m_self(std::move(self))
     , m_times(intervals)
@@ -57,7 +57,7 @@
     else if (m_self.role == node_role::entry)
         transaction.writes.push_back(
             { shareKey(m_self.vm), encodeShare({ m_self.vm, m_self.zone, m_self.address }), 0 });
-    const auto sent = bootTime();
+    const auto sent = bootClockNow();
     m_store.commit(transaction, [this, sent](result<commit_outcome> outcome) {
         // Whatever failed, a new lease is a sound start; the old one lapses.
         if (!outcome)
@@ -70,7 +70,7 @@
 
 void registration::renew()
 {
-    const auto sent = bootTime();
+    const auto sent = bootClockNow();
     m_store.renewLease(m_lease, [this, sent](result<bool> renewed) {
         if (renewed) {
             m_confirmed = sent;
--- a/libs/fleet/tests/fleet_fixtures.h
+++ b/libs/fleet/tests/fleet_fixtures.h
@@ -32,7 +32,7 @@
 /// Reads documents of orders and targets that hold next to nothing.
 class plain_codec final : public fleet_codec {
 public:
-    std::string ordersPrefix() const override { return "orders/"; }
+    std::string operatorPrefix() const override { return "orders/"; }
     std::string configurationKey() const override { return "orders/config"; }
     std::string targetsPrefix() const override { return "targets/"; }
     result<routing_table> decodeConfiguration(std::string_view document) const override
--- a/libs/fleet/tests/model_fleet.cpp
+++ b/libs/fleet/tests/model_fleet.cpp
@@ -328,7 +328,7 @@
     auto& added = *processes.back();
     added.watch.start();
     if (registers) {
-        added.watch.offerSelf();
+        added.watch.joinFleet();
         added.registered.start();
     }
     return added;
--- a/libs/fleet/tests/model_fleet.h
+++ b/libs/fleet/tests/model_fleet.h
@@ -15,7 +15,7 @@
 /// Configurations are a number, targets the word "ready" or "draining".
 class model_codec final : public fleet_codec {
 public:
-    std::string ordersPrefix() const override { return "orders/"; }
+    std::string operatorPrefix() const override { return "orders/"; }
     std::string configurationKey() const override { return "orders/config"; }
     std::string targetsPrefix() const override { return "targets/"; }
     result<routing_table> decodeConfiguration(std::string_view document) const override;
--- a/libs/fleet/tests/test_fleet.cpp
+++ b/libs/fleet/tests/test_fleet.cpp
@@ -134,7 +134,8 @@
     peer.sections[0] = { "targets/", 12, {} };
     peer.settled = false;
     server = std::make_unique<rpc_server>(address, rpc_security {}, &peer, nullptr);
-    CHECK(runUntil(loop, [&] { return watch.answer({}).newer.empty() && watch.targets().keepsMissing(); }));
+    CHECK(runUntil(
+        loop, [&] { return watch.answer({}).newer.empty() && watch.targets().hasMissingTargets(); }));
     CHECK(watch.targets().targets().size() == 1);
 }
 
@@ -281,7 +282,7 @@
     struct step {
         milliseconds at;
         std::size_t entry;
-        offer_need awaited; ///< What it decides about; nothing if it only looks.
+        registration_need awaited; ///< What it decides about; nothing if it only looks.
 
         bool operator>(const step& other) const { return at > other.at; }
     };
@@ -296,7 +297,8 @@
     std::priority_queue<step, std::vector<step>, std::greater<>> steps;
     for (std::size_t i = 0; i < 51; ++i) {
         entries.push_back(entryOf("vm-" + std::to_string(i), "z", i < 3 ? 0.5 : 0.12));
-        steps.push({ drawn(milliseconds { 300 }) + firstOfferDelay(entries[i].cores), i, offer_need::none });
+        steps.push({ drawn(milliseconds { 300 }) + initialRegistrationDelay(entries[i].cores), i,
+            registration_need::none });
     }
     std::vector<registration_made> registered;
     while (!steps.empty()) {
@@ -308,13 +310,13 @@
                 listed.push_back(earlier.node);
         }
         const auto& node = entries[now.entry];
-        const auto need = offerNeed(node, listed);
-        if (need == offer_need::none)
+        const auto need = registrationNeed(node, listed);
+        if (need == registration_need::none)
             continue;
-        if (now.awaited != offer_need::none && need >= now.awaited)
+        if (now.awaited != registration_need::none && need >= now.awaited)
             registered.push_back({ now.at, node });
         else
-            steps.push({ now.at + drawn(longestOfferDelay(need, node.cores)), now.entry, need });
+            steps.push({ now.at + drawn(maxRegistrationDelay(need, node.cores)), now.entry, need });
     }
     const auto large = std::count_if(
         registered.begin(), registered.end(), [](const auto& one) { return one.node.cores == 0.5; });
@@ -327,20 +329,20 @@
 {
     std::vector<node_record> listed;
     const auto small = entryOf("small", "z", 0.12);
-    CHECK(offerNeed(small, listed) == offer_need::urgent);
+    CHECK(registrationNeed(small, listed) == registration_need::urgent);
     for (int i = 0; i < 4; ++i)
         listed.push_back(entryOf("large-" + std::to_string(i), "z", 0.5));
-    CHECK(offerNeed(small, listed) == offer_need::none);
+    CHECK(registrationNeed(small, listed) == registration_need::none);
     listed.back().leaving = true;
-    CHECK(offerNeed(small, listed) == offer_need::spare);
+    CHECK(registrationNeed(small, listed) == registration_need::spare);
     listed.resize(1);
-    CHECK(offerNeed(small, listed) == offer_need::urgent);
+    CHECK(registrationNeed(small, listed) == registration_need::urgent);
     // Small ones do not make a larger one needless, nor do those of other zones.
     listed.clear();
     for (int i = 0; i < 9; ++i)
         listed.push_back(entryOf("small-" + std::to_string(i), "z", 0.12));
-    CHECK(offerNeed(entryOf("large", "z", 0.5), listed) == offer_need::urgent);
-    CHECK(offerNeed(entryOf("elsewhere", "y", 0.12), listed) == offer_need::urgent);
+    CHECK(registrationNeed(entryOf("large", "z", 0.5), listed) == registration_need::urgent);
+    CHECK(registrationNeed(entryOf("elsewhere", "y", 0.12), listed) == registration_need::urgent);
 }
 
 // Story: the store is down for some seconds. Each of 250 entries that follow others asked it three times at
--- a/libs/fleet/tests/test_slices.cpp
+++ b/libs/fleet/tests/test_slices.cpp
@@ -33,7 +33,7 @@
     {
         std::vector<const model_process*> found;
         for (const auto& process : fleet.processes) {
-            if (!process->watch.offered())
+            if (!process->watch.hasJoined())
                 found.push_back(process.get());
         }
         return found;
@@ -82,8 +82,8 @@
     listed_fleet played(loop, 3000);
     run(loop, settling);
     auto& follower = *played.fleet.processes.back();
-    REQUIRE(!follower.watch.offered());
-    follower.watch.offerSelf();
+    REQUIRE(!follower.watch.hasJoined());
+    follower.watch.joinFleet();
     run(loop, milliseconds { 1000 });
     CHECK(!follower.watch.targets().partial());
     CHECK(follower.watch.targets().targets().size() == 3000);
--- a/libs/front/include/front/front.h
+++ b/libs/front/include/front/front.h
@@ -50,9 +50,10 @@
 class place_source {
 public:
     virtual ~place_source() = default;
-    virtual std::shared_ptr<place_ask> acquire(place_request request, std::function<void(result<place>)> done)
+    virtual std::shared_ptr<slot_acquisition> acquire(
+        slot_requirements request, std::function<void(result<held_slot>)> done)
         = 0;
-    virtual void release(const place& taken, grant_outcome outcome, milliseconds firstToken) = 0;
+    virtual void release(const held_slot& taken, grant_outcome outcome, milliseconds firstToken) = 0;
 };
 
 /// Sends requests to targets; the HTTP client, or a mock.
@@ -111,7 +112,7 @@
 };
 
 /// Asks targets for their load over HTTP. On the loop's thread.
-class target_loads final : public load_source {
+class target_loads final : public load_report_source {
 public:
     target_loads(http_client& client, const load_protocol& protocol);
     void ask(const std::string& address, callback done) override;
--- a/libs/front/src/front_process.cpp
+++ b/libs/front/src/front_process.cpp
@@ -30,7 +30,7 @@
 group_options groupOptions(const process_settings& settings)
 {
     auto options = defaultGroupOptions();
-    options.asksForReports = settings.dispatch.loadReports;
+    options.pollsLoadReports = settings.dispatch.loadReports;
     options.waitMargin = settings.dispatch.waitMarginPercent / 100.0;
     options.keptForLive = settings.dispatch.keptForLive;
     options.affinity = settings.dispatch.affinityPercent / 100.0;
@@ -51,22 +51,22 @@
 
 class broker_places final : public place_source {
 public:
-    explicit broker_places(place_broker& broker)
+    explicit broker_places(slot_broker& broker)
         : m_broker(broker)
     {
     }
-    std::shared_ptr<place_ask> acquire(
-        place_request request, std::function<void(result<place>)> done) override
+    std::shared_ptr<slot_acquisition> acquire(
+        slot_requirements request, std::function<void(result<held_slot>)> done) override
     {
         return m_broker.acquire(std::move(request), std::move(done));
     }
-    void release(const place& taken, grant_outcome outcome, milliseconds firstToken) override
+    void release(const held_slot& taken, grant_outcome outcome, milliseconds firstToken) override
     {
         m_broker.release(taken, outcome, firstToken);
     }
 
 private:
-    place_broker& m_broker;
+    slot_broker& m_broker;
 };
 
 class http_targets final : public target_client {
@@ -97,8 +97,9 @@
         , m_rpc({})
         , m_self(ownRecord(settings))
         , m_loads(m_client, adapter.loads)
-        , m_suspects(m_loop, m_loads, m_figures, m_rpc, m_store, [this] { return m_fleet.otherEntries(); })
-        , m_fleet(m_loop, m_store, m_suspects.spread, adapter.documents, m_self, fleetOptions(settings),
+        , m_suspects(
+              m_loop, m_loads, m_figures, m_rpc, m_store, [this] { return m_fleet.otherEntryAddresses(); })
+        , m_fleet(m_loop, m_store, m_suspects.replicator, adapter.documents, m_self, fleetOptions(settings),
               listeners())
         , m_registration(m_loop, m_store, m_self, {})
         , m_limits(m_self.vm, m_self.incarnation, limitPolicy(settings.customerLimits),
@@ -156,7 +157,7 @@
     sync_answer sync(const sync_question& question) override
     {
         auto answer = m_fleet.answer(question.known);
-        m_suspects.spread.answer(question, answer);
+        m_suspects.replicator.answer(question, answer);
         return answer;
     }
 
@@ -194,7 +195,7 @@
         return limits;
     }
 
-    bool ready() const { return m_fleet.configuration() != nullptr && m_fleet.targetsKnown(); }
+    bool ready() const { return m_fleet.configuration() != nullptr && m_fleet.hasTargetList(); }
 
     void configurationChanged()
     {
@@ -218,7 +219,7 @@
         m_broker.setDispatchers(dispatchersAmong(entries));
         setLimitMembers();
         // A start of this process before has left its entry: whoever relied on that goes on doing so.
-        if (!m_fleet.offered() && m_fleet.listed())
+        if (!m_fleet.hasJoined() && m_fleet.listed())
             return offer();
         if (m_started)
             considerOffer();
@@ -236,7 +237,7 @@
             const bool registered = node.vm != m_self.vm || m_fleet.listed();
             members[node.vm] = { node.vm, node.zone, false, registered, node.address };
         }
-        if (!m_fleet.offered())
+        if (!m_fleet.hasJoined())
             members.erase(m_self.vm);
         std::vector<limit_member> all;
         all.reserve(members.size());
@@ -254,7 +255,7 @@
         const bool seed = std::find(seeds.begin(), seeds.end(), m_self.address) != seeds.end();
         if (seed || !m_settings.followPeers)
             return offer();
-        m_offerTimer.arm(firstOfferDelay(m_self.cores), [this] {
+        m_offerTimer.arm(initialRegistrationDelay(m_self.cores), [this] {
             m_started = true;
             considerOffer();
         });
@@ -263,8 +264,8 @@
     void checkStore()
     {
         const auto now = std::chrono::steady_clock::now();
-        m_limits.setStoreReached(m_fleet.targetsAge(now) <= storeLostAfter, now);
-        const auto lost = m_limits.takeLostMembers();
+        m_limits.setStoreReachable(m_fleet.targetsAge(now) <= storeLostAfter, now);
+        const auto lost = m_limits.takeExpiredMembers();
         if (m_fleet.storeContact().watches) {
             for (const auto& vm : lost)
                 removeShareRecord(vm);
@@ -272,7 +273,7 @@
         const auto owners = m_fleet.shareRecords();
         const bool leftOver = std::any_of(
             owners.begin(), owners.end(), [&](const auto& owner) { return owner.vm == m_self.vm; });
-        if (leftOver && m_started && !m_fleet.offered() && now >= m_nextShareRemoval) {
+        if (leftOver && m_started && !m_fleet.hasJoined() && now >= m_nextShareRemoval) {
             m_nextShareRemoval = now + shareRemovalInterval;
             removeShareRecord(m_self.vm);
         }
@@ -293,16 +294,16 @@
         });
     }
 
-    offer_need need() const { return offerNeed(m_self, m_fleet.registered(node_role::entry)); }
+    registration_need need() const { return registrationNeed(m_self, m_fleet.registered(node_role::entry)); }
 
     void considerOffer()
     {
         const auto seen = need();
         const bool awaited = m_offerTimer.armed() && m_awaited >= seen;
-        if (m_fleet.offered() || seen == offer_need::none || awaited)
+        if (m_fleet.hasJoined() || seen == registration_need::none || awaited)
             return;
         m_awaited = seen;
-        m_offerTimer.arm(jitter(longestOfferDelay(seen, m_self.cores)), [this] {
+        m_offerTimer.arm(jitter(maxRegistrationDelay(seen, m_self.cores)), [this] {
             if (need() >= m_awaited)
                 offer();
             else // Others have come first; there may still be time to be a spare one.
@@ -312,14 +313,14 @@
 
     void offer()
     {
-        if (m_fleet.offered() || m_stopping)
+        if (m_fleet.hasJoined() || m_stopping)
             return;
         m_offerTimer.cancel();
-        m_fleet.offerSelf();
+        m_fleet.joinFleet();
         setLimitMembers();
         m_registration.start();
         // Those that follow the others hear of it from these.
-        m_suspects.archive.load([this] { m_suspects.spread.publish(); });
+        m_suspects.archive.load([this] { m_suspects.replicator.publishSnapshot(); });
     }
 
     /// So that the processes of a zone do not decide all at the same moment.
@@ -386,9 +387,9 @@
         const auto& places = m_broker.figures();
         m_figures.set("yuccachute_place_asks", static_cast<double>(places.asks));
         m_figures.set("yuccachute_place_grants", static_cast<double>(places.grants));
-        m_figures.set("yuccachute_place_grants_elsewhere", static_cast<double>(places.grantsElsewhere));
+        m_figures.set("yuccachute_place_grants_elsewhere", static_cast<double>(places.grantsInOtherZones));
         m_figures.set("yuccachute_place_refusals", static_cast<double>(places.refusals));
-        m_figures.set("yuccachute_dispatchers_silent", static_cast<double>(places.silentDispatchers));
+        m_figures.set("yuccachute_dispatchers_silent", static_cast<double>(places.unresponsiveDispatchers));
         m_figures.set("yuccachute_caller_connections", static_cast<double>(m_callers->connections()));
         m_figures.set(
             "yuccachute_target_connections_opened", static_cast<double>(m_client.connectionsOpened()));
@@ -400,8 +401,8 @@
             "yuccachute_configuration_age_ms", static_cast<double>(m_fleet.configurationAge(now).count()));
         m_figures.set("yuccachute_targets_age_ms", static_cast<double>(m_fleet.targetsAge(now).count()));
         m_figures.set("yuccachute_suspected_requests", static_cast<double>(m_suspects.guard.known().size()));
-        if (m_limits.limitsAny()) {
-            m_figures.set("yuccachute_limit_part", m_limits.part(now));
+        if (m_limits.hasLimits()) {
+            m_figures.set("yuccachute_limit_part", m_limits.share(now));
             m_figures.set("yuccachute_limit_refusals", static_cast<double>(m_limits.refused()));
         }
         for (const auto& [name, group] : m_broker.summaries(now)) {
@@ -464,8 +465,8 @@
     shared_guard m_suspects;
     fleet_watch m_fleet;
     registration m_registration;
-    fleet_limits m_limits;
-    place_broker m_broker;
+    distributed_rate_limiter m_limits;
+    slot_broker m_broker;
     broker_places m_places;
     http_targets m_targets;
     live_services m_live;
@@ -481,7 +482,7 @@
     steady_time m_stopAt;
     steady_time m_nextShareRemoval;
     bool m_started = false; ///< The time to wait for larger VMs is over.
-    offer_need m_awaited = offer_need::none; ///< What the timer was armed for.
+    registration_need m_awaited = registration_need::none; ///< What the timer was armed for.
     bool m_stopping = false;
 };
 
--- a/libs/front/src/live_run.cpp
+++ b/libs/front/src/live_run.cpp
@@ -85,14 +85,14 @@
     }
 
     /// Whether anything is known against any request.
-    bool guarded() const { return m_services.guard && m_services.guard->watching(); }
+    bool guarded() const { return m_services.guard && m_services.guard->hasSuspects(); }
 
     std::optional<failure> admitted()
     {
         if (!guarded())
             return std::nullopt;
         auto admission = m_services.guard->admit(identity());
-        m_trial = std::move(admission.held);
+        m_trial = std::move(admission.runningTrial);
         return admission.refusal;
     }
 
@@ -100,14 +100,15 @@
     void examineTarget(std::function<void()> settled = nullptr)
     {
         if (m_services.guard)
-            m_services.guard->cut(
+            m_services.guard->aborted(
                 identity(), m_recordWhenSent, { m_lastTarget, m_lastAddress }, std::move(settled));
     }
 
     void targetSilent()
     {
         if (m_services.guard)
-            m_services.guard->fellSilent(identity(), m_recordWhenSent, { m_lastTarget, m_lastAddress });
+            m_services.guard->targetUnresponsive(
+                identity(), m_recordWhenSent, { m_lastTarget, m_lastAddress });
     }
 
     /// Goes on elsewhere once it is known whether the request may: each of its runs may end one more target,
@@ -134,13 +135,13 @@
         seek();
     }
 
-    bool endsTargets() { return guarded() && m_services.guard->suspected(identity()); }
+    bool endsTargets() { return guarded() && m_services.guard->isSuspected(identity()); }
 
     // --- Finding a place
 
     void seek()
     {
-        place_request wanted;
+        slot_requirements wanted;
         wanted.requestId = m_facts.id;
         wanted.service = m_route.pickService(std::hash<std::string> {}(m_facts.id));
         wanted.customer = m_callerIdentity.customer ? m_callerIdentity.customer->name : m_route.name;
@@ -153,16 +154,16 @@
         wanted.hold = toMs(m_deadline - now());
         const auto onTime = m_onTimeUntil - firstEventTime;
         // A request that has begun goes on while it can; a new one that could only be late is better told so.
-        wanted.latest = m_begun ? m_deadline : std::min(onTime, m_deadline);
+        wanted.grantDeadline = m_begun ? m_deadline : std::min(onTime, m_deadline);
         m_seeking = true;
-        m_ask = m_services.places.acquire(std::move(wanted), [this](result<place> found) {
+        m_ask = m_services.places.acquire(std::move(wanted), [this](result<held_slot> found) {
             m_ask.reset();
             m_seeking = false;
             placed(std::move(found));
         });
     }
 
-    void placed(result<place> found)
+    void placed(result<held_slot> found)
     {
         if (!found && m_call) {
             // A second target was wanted in case the first one is dead: that one has to do for now.
@@ -204,12 +205,12 @@
 
     // --- One attempt at a target
 
-    void send(place taken)
+    void send(held_slot taken)
     {
         m_place = std::move(taken);
         m_lastTarget = m_place->target;
         m_lastAddress = m_place->address;
-        m_recordWhenSent = guarded() ? m_services.guard->record(identity()) : record_of_strikes {};
+        m_recordWhenSent = guarded() ? m_services.guard->record(identity()) : strike_record {};
         m_targetsAge = m_services.targetsAge();
         m_waited += m_place->waited;
         m_splitter.restart();
@@ -225,7 +226,7 @@
         client_call_options options;
         options.deadline = m_deadline + milliseconds { 1000 }; // The run's own limit comes first.
         options.connectTimeout = connectTimeout;
-        options.freshConnection = !m_route.repeatable();
+        options.freshConnection = !m_route.retryable();
         options.acceptUnframed = true;
         client_call_events events;
         events.head = [this](const http_reply& head) { return takeHead(head); };
@@ -240,7 +241,7 @@
 
     void watchSilence(milliseconds patience)
     {
-        if (!m_route.repeatable() || !streaming())
+        if (!m_route.retryable() || !streaming())
             return;
         m_silence.arm(patience, [this] {
             if (m_wantsMove || m_seeking || m_attempts + 1 >= m_route.maxAttempts)
@@ -373,7 +374,7 @@
         // Whatever it says, the target has lived; without a length that is not sure.
         if (m_framed && guarded())
             m_services.guard->answered(identity());
-        const bool failedThere = m_head.status >= serverErrors && m_route.repeatable() && !m_headPassed;
+        const bool failedThere = m_head.status >= serverErrors && m_route.retryable() && !m_headPassed;
         if (failedThere && m_attempts < m_route.maxAttempts && now() < m_deadline) {
             m_begun = true;
             releasePlace(grant_outcome::failed);
@@ -421,7 +422,7 @@
         if (m_seeking)
             return examineTarget();
         const bool resumable = !m_headPassed || eventStream();
-        if (m_route.repeatable() && resumable && m_attempts < m_route.maxAttempts && now() < m_deadline)
+        if (m_route.retryable() && resumable && m_attempts < m_route.maxAttempts && now() < m_deadline)
             return seekWhenSettled();
         examineTarget();
         giveUp(error);
@@ -514,7 +515,7 @@
     std::shared_ptr<http_exchange> m_caller;
     request_facts m_facts;
     std::optional<request_identity> m_identity; ///< Made when it is needed.
-    record_of_strikes m_recordWhenSent; ///< What was known against the request at its last send.
+    strike_record m_recordWhenSent; ///< What was known against the request at its last send.
     std::shared_ptr<request_guard::trial> m_trial;
     std::shared_ptr<const routing_table> m_table; ///< Keeps the route alive.
     const route& m_route;
@@ -527,8 +528,8 @@
     steady_time m_onTimeUntil;
     steady_time m_sentAt;
     milliseconds m_targetsAge { 0 }; ///< When the last target was chosen.
-    std::shared_ptr<place_ask> m_ask;
-    std::optional<place> m_place;
+    std::shared_ptr<slot_acquisition> m_ask;
+    std::optional<held_slot> m_place;
     std::shared_ptr<client_call> m_call;
     event_splitter m_splitter;
     std::optional<std::uint64_t> m_lastEvent;
--- a/libs/front/tests/test_live_run.cpp
+++ b/libs/front/tests/test_live_run.cpp
@@ -45,7 +45,7 @@
 
 class scripted_places final : public place_source {
 public:
-    struct ask : place_ask {
+    struct ask : slot_acquisition {
         explicit ask(scripted_places& places)
             : owner(places)
         {
@@ -53,8 +53,8 @@
         ~ask() override { owner.withdrawn = true; }
         scripted_places& owner;
     };
-    std::shared_ptr<place_ask> acquire(
-        place_request request, std::function<void(result<place>)> done) override
+    std::shared_ptr<slot_acquisition> acquire(
+        slot_requirements request, std::function<void(result<held_slot>)> done) override
     {
         ++asks;
         last = std::move(request);
@@ -62,13 +62,13 @@
         withdrawn = false;
         return std::make_shared<ask>(*this);
     }
-    void release(const place& taken, grant_outcome outcome, milliseconds) override
+    void release(const held_slot& taken, grant_outcome outcome, milliseconds) override
     {
         released += taken.target + ":" + std::to_string(static_cast<int>(outcome)) + " ";
     }
     void grant(const std::string& target)
     {
-        place found;
+        held_slot found;
         found.target = target;
         found.address = target;
         const auto done = answer;
@@ -76,8 +76,8 @@
     }
 
     int asks = 0;
-    place_request last;
-    std::function<void(result<place>)> answer;
+    slot_requirements last;
+    std::function<void(result<held_slot>)> answer;
     bool withdrawn = false;
     std::string released;
 };
@@ -156,7 +156,7 @@
 };
 
 /// Targets that refuse connections after a cut, or answer.
-class scripted_loads final : public load_source {
+class scripted_loads final : public load_report_source {
 public:
     void ask(const std::string&, callback done) override
     {
@@ -500,7 +500,7 @@
         f.places.grant("t2");
         f.targets.fail(cut());
     }
-    CHECK_FALSE(all.guard.watching());
+    CHECK_FALSE(all.guard.hasSuspects());
 }
 
 TEST_CASE("a whole answer clears a request that was suspected")
@@ -509,14 +509,14 @@
     fixture first(request_kind::streaming, true, 1000, &all.guard);
     first.places.grant("t1");
     first.targets.fail(cut());
-    CHECK(all.guard.watching());
+    CHECK(all.guard.hasSuspects());
     first.places.grant("t2");
     first.targets.head(200, { { "Transfer-Encoding", "chunked" } });
     first.targets.body(event(1));
     first.targets.whole();
     CHECK(first.caller->finished);
     const auto identity = identityOf(first.caller->request(), "");
-    CHECK(all.guard.record(identity) == record_of_strikes { 1, 0 });
+    CHECK(all.guard.record(identity) == strike_record { 1, 0 });
 }
 
 // Story: a target ends under a request in the middle of an answer that has no length. The connection's end
--- a/libs/guard/include/guard/guard.h
+++ b/libs/guard/include/guard/guard.h
@@ -38,7 +38,7 @@
 public:
     using callback = std::function<void(bool ended)>;
 
-    end_check(event_loop& loop, load_source& loads);
+    end_check(event_loop& loop, load_report_source& loads);
 
     /// The directory has to outlive this object.
     void setTargets(const target_directory& targets, std::span<const target_change> changes, steady_time now);
@@ -69,7 +69,7 @@
     void expire(steady_time now);
 
     event_loop& m_loop;
-    load_source& m_loads;
+    load_report_source& m_loads;
     const target_directory* m_targets = nullptr;
     examination_list m_examinations;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< Answers may come after the end.
@@ -80,11 +80,11 @@
 /// Such a request ends one target after the other, each with all that it answers, and its caller sends it
 /// again at any entry, under another id: callers of the whole fleet lose their answers for as long as it
 /// comes. So a request is known by what it asks for, and what is known of it outlives the attempt, and
-/// through suspect_spread and suspect_archive the process.
+/// through suspect_replicator and suspect_archive the process.
 class request_guard {
 public:
     /// Told of each change that this process has seen itself.
-    using listener = std::function<void(const suspect_note& news)>;
+    using listener = std::function<void(const suspect_report& news)>;
 
     /// A run of a suspected request. While it lasts the process sends no other one.
     class trial {
@@ -93,10 +93,11 @@
     };
     struct admission {
         std::optional<failure> refusal;
-        std::shared_ptr<trial> held; ///< To be kept until the request's end; null if it is not suspected.
+        std::shared_ptr<trial>
+            runningTrial; ///< To be kept until the request's end; null if it is not suspected.
     };
 
-    request_guard(event_loop& loop, load_source& loads, metrics& figures);
+    request_guard(event_loop& loop, load_report_source& loads, metrics& figures);
 
     void onNews(listener told) { m_told = std::move(told); }
     void setTargets(const target_directory& targets, std::span<const target_change> changes, steady_time now)
@@ -105,31 +106,31 @@
     }
 
     /// Whether anything is known against any request. If not, nobody needs a request's identity.
-    bool watching() const { return !m_known.empty(); }
+    bool hasSuspects() const { return !m_known.empty(); }
     admission admit(const request_identity& identity);
     /// Whether a request that has failed is better not tried again at once.
-    bool suspected(const request_identity& identity) const;
-    record_of_strikes record(const request_identity& identity) const { return m_known.record(identity); }
+    bool isSuspected(const request_identity& identity) const;
+    strike_record record(const request_identity& identity) const { return m_known.record(identity); }
     const quarantine& known() const { return m_known; }
 
     /// A target broke off the answer to a request. `settled` is called, later, once it is known whether it
     /// has ended; it may be null.
-    void cut(const request_identity& identity, const record_of_strikes& whenSent, const run_target& target,
+    void aborted(const request_identity& identity, const strike_record& whenSent, const run_target& target,
         std::function<void()> settled);
     /// A target fell silent in the middle of a request.
-    void fellSilent(
-        const request_identity& identity, const record_of_strikes& whenSent, const run_target& target);
+    void targetUnresponsive(
+        const request_identity& identity, const strike_record& whenSent, const run_target& target);
     /// A target has answered the request in full.
     void answered(const request_identity& identity);
     /// What other processes know. Returns whether any of it was news.
-    bool merge(std::span<const suspect_note> notes);
+    bool merge(std::span<const suspect_report> reports);
     void expire(steady_time now) { m_known.expire(now); }
 
 private:
     class running_trial;
 
-    void targetEnded(
-        const request_identity& identity, const record_of_strikes& whenSent, const std::string& target);
+    void targetTerminated(
+        const request_identity& identity, const strike_record& whenSent, const std::string& target);
     void tell(const request_identity& identity);
 
     metrics& m_figures;
@@ -143,12 +144,12 @@
 /// other anyway: each carries a digest of what the asker knows. What this process has seen itself is told at
 /// once to the entries that it knows of, so that a request that comes again to another entry a fifth of a
 /// second later finds itself known. On the loop's thread but where it is said.
-class suspect_spread final : public peer_sync {
+class suspect_replicator final : public peer_sync {
 public:
     /// Addresses of the processes that are told of news.
     using address_source = std::function<std::vector<std::string>()>;
 
-    suspect_spread(event_loop& loop, peer_sync& peers, request_guard& guard, address_source addresses);
+    suspect_replicator(event_loop& loop, peer_sync& peers, request_guard& guard, address_source addresses);
 
     /// Asks as the underlying peer_sync does, and takes what the answer tells of suspects.
     void sync(std::string_view address, const sync_question& question, milliseconds timeout,
@@ -156,19 +157,19 @@
     /// Adds to the answer what the asker does not know, and takes its news. From any thread.
     void answer(const sync_question& question, sync_answer& answer);
     /// What this process has seen.
-    void tell(const suspect_note& news);
+    void tell(const suspect_report& news);
     /// The guard has learnt from elsewhere: peers that ask are told.
-    void publish();
+    void publishSnapshot();
 
 private:
-    void take(const std::vector<suspect_note>& notes);
+    void take(const std::vector<suspect_report>& reports);
     void compare(const std::string& address, std::uint64_t digest);
     void flush();
-    void send(const std::string& address, std::vector<suspect_note> notes);
+    void send(const std::string& address, std::vector<suspect_report> reports);
     void tick();
 
     struct snapshot {
-        std::vector<suspect_note> notes;
+        std::vector<suspect_report> reports;
         std::uint64_t digest = 0;
         steady_time made;
     };
@@ -178,7 +179,7 @@
     peer_sync& m_peers;
     request_guard& m_guard;
     address_source m_addresses;
-    std::map<request_identity, suspect_note> m_news; ///< To be told.
+    std::map<request_identity, suspect_report> m_news; ///< To be told.
     std::map<std::string, steady_time> m_toldAll; ///< When a peer was last told everything.
     loop_timer m_flush;
     loop_ticker m_ticker;
@@ -196,11 +197,11 @@
 
     /// Reads what is kept, and tries again until the store answers.
     void load(std::function<void()> loaded = [] {});
-    void save(const suspect_note& news);
+    void save(const suspect_report& news);
 
 private:
     struct kept_record {
-        record_of_strikes record;
+        strike_record record;
         std::int64_t revision = 0; ///< Of its key.
     };
 
@@ -209,7 +210,7 @@
     void write();
     void writeUnder(std::int64_t lease);
     store_condition conditionOf(const request_identity& identity) const;
-    void written(const std::vector<suspect_note>& notes, const result<commit_outcome>& outcome);
+    void written(const std::vector<suspect_report>& reports, const result<commit_outcome>& outcome);
 
     event_loop& m_loop;
     async_store& m_store;
@@ -225,17 +226,18 @@
 
 /// A guard that shares what it knows with the fleet. Its parts are to be used directly.
 struct shared_guard {
-    shared_guard(event_loop& loop, load_source& loads, metrics& figures, peer_sync& peers, async_store& store,
-        suspect_spread::address_source addresses);
+    shared_guard(event_loop& loop, load_report_source& loads, metrics& figures, peer_sync& peers,
+        async_store& store, suspect_replicator::address_source addresses);
 
     request_guard guard;
-    suspect_spread spread;
+    suspect_replicator replicator;
     suspect_archive archive;
 };
 
 /// What the store holds of one suspect.
-std::string encodeSuspect(const suspect_note& note, std::int64_t wallClockMs);
+std::string encodeSuspect(const suspect_report& report, std::int64_t wallClockMs);
 /// The failure names the field that is wrong. An age that clocks make impossible is cut to what is possible.
-result<suspect_note> decodeSuspect(std::string_view key, std::string_view document, std::int64_t wallClockMs);
+result<suspect_report> decodeSuspect(
+    std::string_view key, std::string_view document, std::int64_t wallClockMs);
 
 } // namespace yuccachute
--- a/libs/guard/src/end_check.cpp
+++ b/libs/guard/src/end_check.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-end_check::end_check(event_loop& loop, load_source& loads)
+end_check::end_check(event_loop& loop, load_report_source& loads)
     : m_loop(loop)
     , m_loads(loads)
 {
--- a/libs/guard/src/request_guard.cpp
+++ b/libs/guard/src/request_guard.cpp
@@ -26,7 +26,7 @@
     request_identity m_identity;
 };
 
-request_guard::request_guard(event_loop& loop, load_source& loads, metrics& figures)
+request_guard::request_guard(event_loop& loop, load_report_source& loads, metrics& figures)
     : m_figures(figures)
     , m_ends(loop, loads)
 {
@@ -35,14 +35,14 @@
 request_guard::admission request_guard::admit(const request_identity& identity)
 {
     const auto now = std::chrono::steady_clock::now();
-    switch (m_known.of(identity, now)) {
-    case quarantine::standing::clear:
+    switch (m_known.statusOf(identity, now)) {
+    case quarantine::status::clear:
         return {};
-    case quarantine::standing::refused:
+    case quarantine::status::refused:
         return { notRun(failure_kind::limited, "this request has ended the targets that ran it",
-                     m_known.refusedFor(identity, now)),
+                     m_known.remainingRefusalTime(identity, now)),
             nullptr };
-    case quarantine::standing::suspect:
+    case quarantine::status::suspect:
         break;
     }
     if (m_trials->contains(identity))
@@ -51,36 +51,36 @@
     return { std::nullopt, std::make_shared<running_trial>(m_trials, identity) };
 }
 
-bool request_guard::suspected(const request_identity& identity) const
+bool request_guard::isSuspected(const request_identity& identity) const
 {
-    return m_known.of(identity, std::chrono::steady_clock::now()) != quarantine::standing::clear;
+    return m_known.statusOf(identity, std::chrono::steady_clock::now()) != quarantine::status::clear;
 }
 
-void request_guard::cut(const request_identity& identity, const record_of_strikes& whenSent,
+void request_guard::aborted(const request_identity& identity, const strike_record& whenSent,
     const run_target& target, std::function<void()> settled)
 {
     m_ends.examine(
         target, [this, identity, whenSent, id = target.id, settled = std::move(settled)](bool ended) {
             if (ended)
-                targetEnded(identity, whenSent, id);
+                targetTerminated(identity, whenSent, id);
             if (settled)
                 settled();
         });
 }
 
-void request_guard::fellSilent(
-    const request_identity& identity, const record_of_strikes& whenSent, const run_target& target)
+void request_guard::targetUnresponsive(
+    const request_identity& identity, const strike_record& whenSent, const run_target& target)
 {
     m_ends.awaitRestart(target, [this, identity, whenSent, id = target.id](bool ended) {
         if (ended)
-            targetEnded(identity, whenSent, id);
+            targetTerminated(identity, whenSent, id);
     });
 }
 
-void request_guard::targetEnded(
-    const request_identity& identity, const record_of_strikes& whenSent, const std::string& target)
+void request_guard::targetTerminated(
+    const request_identity& identity, const strike_record& whenSent, const std::string& target)
 {
-    if (!m_known.targetEnded(identity, whenSent, std::chrono::steady_clock::now()))
+    if (!m_known.targetTerminated(identity, whenSent, std::chrono::steady_clock::now()))
         return;
     const auto record = m_known.record(identity);
     logEvent(log_level::warning, "target ended under a request",
@@ -101,38 +101,40 @@
 
 void request_guard::tell(const request_identity& identity)
 {
-    const auto news = m_known.note(identity, std::chrono::steady_clock::now());
+    const auto news = m_known.report(identity, std::chrono::steady_clock::now());
     if (news && m_told)
         m_told(*news);
 }
 
-bool request_guard::merge(std::span<const suspect_note> notes)
+bool request_guard::merge(std::span<const suspect_report> reports)
 {
     const auto now = std::chrono::steady_clock::now();
     bool news = false;
-    for (const auto& note : notes) {
-        const auto before = m_known.of(note.identity, now);
-        if (!m_known.merge(note, now))
+    for (const auto& report : reports) {
+        const auto before = m_known.statusOf(report.identity, now);
+        if (!m_known.merge(report, now))
             continue;
         news = true;
-        const auto after = m_known.of(note.identity, now);
+        const auto after = m_known.statusOf(report.identity, now);
         if (after == before)
             continue;
         logEvent(log_level::info, "heard of a suspected request",
-            { { "identity", toString(note.identity) }, { "strikes", std::int64_t { note.record.strikes } },
-                { "acquittals", std::int64_t { note.record.acquittals } }, { "age_ms", note.age.count() } });
+            { { "identity", toString(report.identity) },
+                { "strikes", std::int64_t { report.record.strikes } },
+                { "acquittals", std::int64_t { report.record.acquittals } },
+                { "age_ms", report.age.count() } });
     }
     return news;
 }
 
-shared_guard::shared_guard(event_loop& loop, load_source& loads, metrics& figures, peer_sync& peers,
-    async_store& store, suspect_spread::address_source addresses)
+shared_guard::shared_guard(event_loop& loop, load_report_source& loads, metrics& figures, peer_sync& peers,
+    async_store& store, suspect_replicator::address_source addresses)
     : guard(loop, loads, figures)
-    , spread(loop, peers, guard, std::move(addresses))
+    , replicator(loop, peers, guard, std::move(addresses))
     , archive(loop, store, guard)
 {
-    guard.onNews([this](const suspect_note& news) {
-        spread.tell(news);
+    guard.onNews([this](const suspect_report& news) {
+        replicator.tell(news);
         archive.save(news);
     });
 }
--- a/libs/guard/src/suspect_archive.cpp
+++ b/libs/guard/src/suspect_archive.cpp
@@ -34,15 +34,16 @@
 
 } // namespace
 
-std::string encodeSuspect(const suspect_note& note, std::int64_t wallClockMs)
+std::string encodeSuspect(const suspect_report& report, std::int64_t wallClockMs)
 {
     return json {
-        { "acquittals", note.record.acquittals }, { "strikes", note.record.strikes },
-        { "changed_ms", wallClockMs - note.age.count() }
+        { "acquittals", report.record.acquittals }, { "strikes", report.record.strikes },
+        { "changed_ms", wallClockMs - report.age.count() }
     }.dump();
 }
 
-result<suspect_note> decodeSuspect(std::string_view key, std::string_view document, std::int64_t wallClockMs)
+result<suspect_report> decodeSuspect(
+    std::string_view key, std::string_view document, std::int64_t wallClockMs)
 {
     const auto wrong = [&](const std::string& what) {
         return notRun(failure_kind::bad_request, std::string(key) + ": " + what);
@@ -59,13 +60,13 @@
         if (!object.contains(field) || !object[field].is_number_unsigned())
             return wrong(std::string("field ") + field + ": not a whole number");
     }
-    suspect_note note;
-    note.identity = *identity;
-    note.record = { object["acquittals"].get<std::uint32_t>(), object["strikes"].get<std::uint32_t>() };
+    suspect_report report;
+    report.identity = *identity;
+    report.record = { object["acquittals"].get<std::uint32_t>(), object["strikes"].get<std::uint32_t>() };
     // Clocks of VMs differ, and may jump.
     const auto age = milliseconds { wallClockMs - object["changed_ms"].get<std::int64_t>() };
-    note.age = std::clamp<milliseconds>(age, milliseconds { 0 }, timeToLive);
-    return note;
+    report.age = std::clamp<milliseconds>(age, milliseconds { 0 }, timeToLive);
+    return report;
 }
 
 suspect_archive::suspect_archive(event_loop& loop, async_store& store, request_guard& guard)
@@ -89,7 +90,7 @@
 
 void suspect_archive::take(std::span<const stored_value> values)
 {
-    std::vector<suspect_note> notes;
+    std::vector<suspect_report> reports;
     for (const auto& value : values) {
         auto decoded = decodeSuspect(value.key, value.value, wallClockMs());
         if (!decoded) {
@@ -97,12 +98,12 @@
             continue;
         }
         m_kept[decoded.value().identity] = { decoded.value().record, value.modRevision };
-        notes.push_back(decoded.value());
+        reports.push_back(decoded.value());
     }
-    m_guard.merge(notes);
+    m_guard.merge(reports);
 }
 
-void suspect_archive::save(const suspect_note& news)
+void suspect_archive::save(const suspect_report& news)
 {
     const bool kept = m_kept.contains(news.identity);
     if (news.record.strikes < leastStrikesKept && !kept)
@@ -141,22 +142,23 @@
 {
     const auto now = std::chrono::steady_clock::now();
     std::erase_if(
-        m_unsaved, [&](const auto& identity) { return !m_guard.known().note(identity, now).has_value(); });
+        m_unsaved, [&](const auto& identity) { return !m_guard.known().report(identity, now).has_value(); });
     store_transaction transaction;
-    std::vector<suspect_note> notes;
+    std::vector<suspect_report> reports;
     for (const auto& identity : m_unsaved) {
-        if (notes.size() == mostInOneCall)
+        if (reports.size() == mostInOneCall)
             break;
-        notes.push_back(*m_guard.known().note(identity, now));
+        reports.push_back(*m_guard.known().report(identity, now));
         transaction.conditions.push_back(conditionOf(identity));
-        transaction.writes.push_back({ keyOf(identity), encodeSuspect(notes.back(), wallClockMs()), lease });
+        transaction.writes.push_back(
+            { keyOf(identity), encodeSuspect(reports.back(), wallClockMs()), lease });
     }
-    m_writing = !notes.empty();
+    m_writing = !reports.empty();
     if (!m_writing)
         return;
-    m_store.commit(transaction, [this, notes](const result<commit_outcome>& outcome) {
+    m_store.commit(transaction, [this, reports](const result<commit_outcome>& outcome) {
         m_writing = false;
-        written(notes, outcome);
+        written(reports, outcome);
         if (!m_unsaved.empty())
             writeSoon(outcome ? writePause : writeRetry);
     });
@@ -174,7 +176,8 @@
     return condition;
 }
 
-void suspect_archive::written(const std::vector<suspect_note>& notes, const result<commit_outcome>& outcome)
+void suspect_archive::written(
+    const std::vector<suspect_report>& reports, const result<commit_outcome>& outcome)
 {
     if (!outcome) {
         if (outcome.error().kind == failure_kind::not_found)
@@ -182,17 +185,17 @@
         return; // Written again: the condition tells whether this one took effect.
     }
     if (outcome.value().applied) {
-        for (const auto& note : notes)
-            m_kept[note.identity] = { note.record, outcome.value().revision };
+        for (const auto& report : reports)
+            m_kept[report.identity] = { report.record, outcome.value().revision };
     } else {
         // Somebody else has written. What is in the store now is the condition of the next call.
-        for (const auto& note : notes)
-            m_kept.erase(note.identity);
+        for (const auto& report : reports)
+            m_kept.erase(report.identity);
         take(outcome.value().found);
     }
     std::erase_if(m_unsaved, [&](const auto& identity) {
         const auto kept = m_kept.find(identity);
-        return kept != m_kept.end() && !m_guard.record(identity).laterThan(kept->second.record);
+        return kept != m_kept.end() && !m_guard.record(identity).supersedes(kept->second.record);
     });
 }
 
--- a/libs/guard/tests/test_end_check.cpp
+++ b/libs/guard/tests/test_end_check.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-class scripted_loads final : public load_source {
+class scripted_loads final : public load_report_source {
 public:
     void ask(const std::string& address, callback done) override
     {
--- a/libs/guard/tests/test_request_guard.cpp
+++ b/libs/guard/tests/test_request_guard.cpp
@@ -13,7 +13,7 @@
 constexpr request_identity other { 2, 2 };
 
 /// Targets that refuse connections, or answer.
-class scripted_loads final : public load_source {
+class scripted_loads final : public load_report_source {
 public:
     void ask(const std::string&, callback done) override
     {
@@ -42,7 +42,7 @@
     }
     void end(const request_identity& identity, const std::string& target = "t1")
     {
-        guard.cut(identity, guard.record(identity), { target, target }, nullptr);
+        guard.aborted(identity, guard.record(identity), { target, target }, nullptr);
     }
 
     scripted_loads loads;
@@ -65,24 +65,24 @@
         found->second->answer(question, answer);
         done(answer);
     }
-    std::map<std::string, suspect_spread*> peers;
+    std::map<std::string, suspect_replicator*> peers;
     int calls = 0;
 };
 
 struct spreading_entry : entry {
     spreading_entry(event_loop& loop, std::vector<std::string> told)
         : entry(loop)
-        , spread(loop, links, guard, [told] { return told; })
+        , replicator(loop, links, guard, [told] { return told; })
     {
-        guard.onNews([this](const suspect_note& news) { spread.tell(news); });
+        guard.onNews([this](const suspect_report& news) { replicator.tell(news); });
     }
     void ask(const std::string& address)
     {
-        spread.sync(address, {}, milliseconds { 100 }, [](const auto&) {});
+        replicator.sync(address, {}, milliseconds { 100 }, [](const auto&) {});
     }
 
     linked_peers links;
-    suspect_spread spread;
+    suspect_replicator replicator;
 };
 
 /// A store of single keys that can fail.
@@ -147,7 +147,7 @@
         : entry(loop)
         , archive(loop, store, guard)
     {
-        guard.onNews([this](const suspect_note& news) { archive.save(news); });
+        guard.onNews([this](const suspect_report& news) { archive.save(news); });
     }
     suspect_archive archive;
 };
@@ -158,7 +158,7 @@
 {
     event_loop loop;
     entry one(loop);
-    CHECK_FALSE(one.guard.watching());
+    CHECK_FALSE(one.guard.hasSuspects());
     for (const auto* target : { "t1", "t2", "t3" }) {
         CHECK_FALSE(one.guard.admit(guilty).refusal);
         one.end(guilty, target);
@@ -178,7 +178,7 @@
     one.loads.refuses = false;
     for (int i = 0; i < 5; ++i)
         one.end(guilty);
-    CHECK_FALSE(one.guard.watching());
+    CHECK_FALSE(one.guard.hasSuspects());
 }
 
 // Story: three callers send a request that has ended two targets, at the same moment and to one entry. Each
@@ -191,11 +191,11 @@
     one.end(guilty, "t2");
     auto first = one.guard.admit(guilty);
     CHECK_FALSE(first.refusal);
-    CHECK(first.held);
+    CHECK(first.runningTrial);
     const auto second = one.guard.admit(guilty);
     REQUIRE(second.refusal);
     CHECK(second.refusal->retryAfter.count() > 0);
-    first.held.reset();
+    first.runningTrial.reset();
     CHECK_FALSE(one.guard.admit(guilty).refusal);
 }
 
@@ -206,15 +206,15 @@
     event_loop loop;
     spreading_entry left(loop, { "right" });
     spreading_entry right(loop, { "left" });
-    left.links.peers["right"] = &right.spread;
-    right.links.peers["left"] = &left.spread;
+    left.links.peers["right"] = &right.replicator;
+    right.links.peers["left"] = &left.replicator;
     left.end(guilty, "t1");
     left.end(guilty, "t2");
     loop.runFor(milliseconds { 50 });
     CHECK(right.guard.record(guilty).strikes == 2);
     right.guard.answered(guilty);
     loop.runFor(milliseconds { 50 });
-    CHECK(left.guard.record(guilty) == record_of_strikes { 1, 0 });
+    CHECK(left.guard.record(guilty) == strike_record { 1, 0 });
 }
 
 // Story: a zone is cut off while a request ends targets on the other side. When the link is back its entries
@@ -225,8 +225,8 @@
         event_loop loop;
         spreading_entry left(loop, {});
         spreading_entry right(loop, {});
-        left.links.peers["right"] = &right.spread;
-        right.links.peers["left"] = &left.spread;
+        left.links.peers["right"] = &right.replicator;
+        right.links.peers["left"] = &left.replicator;
         left.end(guilty);
         loop.runFor(milliseconds { 20 });
         if (askerKnows)
@@ -291,13 +291,13 @@
 
 TEST_CASE("a suspect is kept and read with its age, and what cannot be read is named")
 {
-    const suspect_note note { guilty, { 1, 2 }, milliseconds { 5000 } };
+    const suspect_report report { guilty, { 1, 2 }, milliseconds { 5000 } };
     const auto key = "yuccachute/suspect/" + toString(guilty);
-    const auto document = encodeSuspect(note, 100000);
+    const auto document = encodeSuspect(report, 100000);
     const auto read = decodeSuspect(key, document, 103000);
     REQUIRE(read);
     CHECK(read.value().identity == guilty);
-    CHECK(read.value().record == note.record);
+    CHECK(read.value().record == report.record);
     CHECK(read.value().age == milliseconds { 8000 });
     CHECK(decodeSuspect(key, document, 0).value().age == milliseconds { 0 }); // The clock jumped back.
     CHECK(decodeSuspect("yuccachute/suspect/x", document, 0).error().message.find("identity")
--- a/libs/limits/include/limits/limits.h
+++ b/libs/limits/include/limits/limits.h
@@ -56,21 +56,22 @@
 };
 
 /// Which members a process hears.
-struct member_survey {
-    bool hearsMost = false; ///< More than half of all, itself among them; otherwise nothing is said of them.
-    std::vector<std::string> silent; ///< VMs of those that it does not hear.
+struct reachability_report {
+    bool hasMajority
+        = false; ///< More than half of all, itself among them; otherwise nothing is said of them.
+    std::vector<std::string> unresponsive; ///< VMs of those that it does not hear.
 
-    bool operator==(const member_survey&) const = default;
+    bool operator==(const reachability_report&) const = default;
 };
 
 /// Asks a member for a loan of its part of the limits. Processes that grant send it to all members at an
 /// interval; processes that have just started do so to hear who knows of them.
-struct share_ask {
+struct share_request {
     std::uint64_t stamp = 0; ///< Time of the sender's clock, echoed in the answer.
     bool borrows = false; ///< Whether the sender grants. Otherwise it wants to be known, and no loan.
-    member_survey survey; ///< Told now and then.
+    reachability_report reachability; ///< Told now and then.
 
-    bool operator==(const share_ask&) const = default;
+    bool operator==(const share_request&) const = default;
 };
 
 /// How full a lender's bucket of a customer is.
@@ -81,14 +82,14 @@
     bool operator==(const bucket_fill&) const = default;
 };
 
-/// Answers `share_ask`: the borrower may use `part` of each limit until `validFor` after it asked. The lender
-/// counts it as lent for as long after it answered, which is later.
+/// Answers `share_request`: the borrower may use `share` of each limit until `validFor` after it asked. The
+/// lender counts it as lent for as long after it answered, which is later.
 struct share_loan {
     std::uint64_t borrowerIncarnation = 0; ///< The loan is void for any other.
-    std::uint64_t askStamp = 0;
+    std::uint64_t requestStamp = 0;
     milliseconds validFor { 0 };
-    double part = 0; ///< In place of what the lender lent before.
-    double added = 0; ///< Of `part`, what is new and brings its share of the tokens along.
+    double share = 0; ///< In place of what the lender lent before.
+    double added = 0; ///< Of `share`, what is new and brings its share of the tokens along.
     std::uint32_t fillPercent = 0; ///< Of the lender's buckets, except `emptier`.
     std::vector<bucket_fill> emptier;
     /// What the lender owns and has lent takes the borrower into account as a member.
@@ -133,7 +134,7 @@
     bool operator==(const token_transfer&) const = default;
 };
 
-using limit_message_body = std::variant<share_ask, share_loan, token_request, token_transfer>;
+using limit_message_body = std::variant<share_request, share_loan, token_request, token_transfer>;
 
 struct limit_message {
     std::string vm; ///< Of the sender.
@@ -156,12 +157,13 @@
 /// process's buckets by the part that it holds, and are passed on to a process that needs them: the sender
 /// takes them out first. So what is lost on the way is never granted, and nothing is granted twice, whoever
 /// hears whom.
-class fleet_limits {
+class distributed_rate_limiter {
 public:
-    fleet_limits(std::string vm, std::uint64_t incarnation, limit_policy policy, limit_bounds bounds);
-    ~fleet_limits();
-    fleet_limits(fleet_limits&&) noexcept;
-    fleet_limits& operator=(fleet_limits&&) noexcept;
+    distributed_rate_limiter(
+        std::string vm, std::uint64_t incarnation, limit_policy policy, limit_bounds bounds);
+    ~distributed_rate_limiter();
+    distributed_rate_limiter(distributed_rate_limiter&&) noexcept;
+    distributed_rate_limiter& operator=(distributed_rate_limiter&&) noexcept;
 
     /// Takes the limits over. A customer whose limit changes keeps what it has used.
     void setCustomers(const customer_directory& customers, steady_time now);
@@ -169,39 +171,39 @@
     /// Who is not named any more owns nothing.
     void setMembers(std::span<const limit_member> members, steady_time now);
     /// Whether this process knows what the platform's store holds, by itself or through others.
-    void setStoreReached(bool reached, steady_time now);
+    void setStoreReachable(bool reached, steady_time now);
     /// Whether this process is the one that is asked for tokens. It borrows before the first request comes.
-    void setDispatches(bool dispatches, steady_time now);
+    void setIsDispatcher(bool dispatches, steady_time now);
     /// This process is going to stop, and gives up the part that it owns. To be called before others are
     /// told.
     void leave(steady_time now);
 
     /// Members that were away for so long that they are taken for ended since the last call. The record that
     /// they may own a part is not needed any more.
-    std::vector<std::string> takeLostMembers();
+    std::vector<std::string> takeExpiredMembers();
 
     /// Whether any customer has a limit.
-    bool limitsAny() const { return !m_buckets.empty(); }
+    bool hasLimits() const { return !m_buckets.empty(); }
     bool limits(std::string_view customer) const;
     /// Takes a token for one send of a request. Returns zero, or the time after which to come back. `begun`:
     /// the request has run in part elsewhere; it is granted on credit, as far as that goes.
-    milliseconds take(std::string_view customer, bool begun, steady_time now);
+    milliseconds tryAcquire(std::string_view customer, bool begun, steady_time now);
     /// A token that was taken was not used.
-    void giveBack(std::string_view customer, steady_time now);
+    void refund(std::string_view customer, steady_time now);
 
     /// Whether another process has asked for loans lately.
-    bool grants(std::string_view vm, steady_time now) const;
+    bool isGranting(std::string_view vm, steady_time now) const;
     /// Whether this process may not grant yet, or only since so short a time that loans are on their way.
-    bool awaitsLoans(steady_time now);
+    bool isAwaitingLoans(steady_time now);
     /// What all members are to be asked now.
-    std::optional<limit_message> takeShareAsk(steady_time now);
+    std::optional<limit_message> nextShareRequest(steady_time now);
     /// What other granting processes are to be asked now.
-    std::optional<limit_message> takeTokenRequest(steady_time now);
+    std::optional<limit_message> nextTokenRequest(steady_time now);
     /// Takes a message from another process; returns the answer to it.
-    std::optional<limit_message> heard(const limit_message& message, steady_time now);
+    std::optional<limit_message> handleMessage(const limit_message& message, steady_time now);
 
     /// What of each limit this process may grant, from 0 to 1.
-    double part(steady_time now);
+    double share(steady_time now);
 
     /// Requests that were refused since the start.
     std::uint64_t refused() const { return m_refused; }
@@ -228,7 +230,7 @@
     void fillAtStart();
     bool settled(steady_time now);
     void notice(const limit_message& message, steady_time now);
-    std::optional<limit_message> answer(const limit_message& from, const share_ask& ask, steady_time now);
+    std::optional<limit_message> answer(const limit_message& from, const share_request& ask, steady_time now);
     std::optional<limit_message> answer(const limit_message& from, const share_loan& loan, steady_time now);
     std::optional<limit_message> answer(
         const limit_message& from, const token_request& request, steady_time now);
--- a/libs/limits/src/fleet_limits.cpp
+++ b/libs/limits/src/fleet_limits.cpp
@@ -43,9 +43,9 @@
 constexpr double noPart = 1e-9;
 
 /// The tokens of a part of the limit.
-double tokensOf(const request_bucket& bucket, double part, std::uint32_t fillPercent)
+double tokensOf(const request_bucket& bucket, double share, std::uint32_t fillPercent)
 {
-    return bucket.fullCapacity() * part * fillPercent / 100.0;
+    return bucket.fullCapacity() * share * fillPercent / 100.0;
 }
 
 /// How many tokens to pass on, so that `users` processes that each answer alike hold equally many.
@@ -63,7 +63,7 @@
 
 } // namespace
 
-fleet_limits::fleet_limits(
+distributed_rate_limiter::distributed_rate_limiter(
     std::string vm, std::uint64_t incarnation, limit_policy policy, limit_bounds bounds)
     : m_vm(std::move(vm))
     , m_incarnation(incarnation)
@@ -75,11 +75,11 @@
 {
 }
 
-fleet_limits::~fleet_limits() = default;
-fleet_limits::fleet_limits(fleet_limits&&) noexcept = default;
-fleet_limits& fleet_limits::operator=(fleet_limits&&) noexcept = default;
+distributed_rate_limiter::~distributed_rate_limiter() = default;
+distributed_rate_limiter::distributed_rate_limiter(distributed_rate_limiter&&) noexcept = default;
+distributed_rate_limiter& distributed_rate_limiter::operator=(distributed_rate_limiter&&) noexcept = default;
 
-void fleet_limits::setCustomers(const customer_directory& customers, steady_time now)
+void distributed_rate_limiter::setCustomers(const customer_directory& customers, steady_time now)
 {
     updatePart(now);
     std::set<std::uint64_t> limited;
@@ -96,95 +96,95 @@
     std::erase_if(m_buckets, [&](const auto& entry) { return !limited.contains(entry.first); });
 }
 
-bool fleet_limits::limits(std::string_view customer) const
+bool distributed_rate_limiter::limits(std::string_view customer) const
 {
     return !m_buckets.empty() && m_buckets.contains(hashText(customer));
 }
 
-void fleet_limits::setMembers(std::span<const limit_member> members, steady_time now)
+void distributed_rate_limiter::setMembers(std::span<const limit_member> members, steady_time now)
 {
     m_roster->setMembers(members, now);
     updatePart(now);
 }
 
-void fleet_limits::setStoreReached(bool reached, steady_time now)
+void distributed_rate_limiter::setStoreReachable(bool reached, steady_time now)
 {
-    m_roster->setStoreReached(reached, now);
+    m_roster->setStoreReachable(reached, now);
     updatePart(now);
 }
 
-void fleet_limits::setDispatches(bool dispatches, steady_time now)
+void distributed_rate_limiter::setIsDispatcher(bool dispatches, steady_time now)
 {
     if (dispatches && !active(now))
         m_activeSince = now;
     m_dispatches = dispatches;
 }
 
-std::vector<std::string> fleet_limits::takeLostMembers()
+std::vector<std::string> distributed_rate_limiter::takeExpiredMembers()
 {
     return m_roster->takeLost();
 }
 
-void fleet_limits::leave(steady_time now)
+void distributed_rate_limiter::leave(steady_time now)
 {
     m_roster->leave();
     updatePart(now);
 }
 
-bool fleet_limits::active(steady_time now) const
+bool distributed_rate_limiter::active(steady_time now) const
 {
     return m_dispatches || (m_lastTake != steady_time {} && now - m_lastTake <= grantingFor);
 }
 
-milliseconds fleet_limits::askInterval() const
+milliseconds distributed_rate_limiter::askInterval() const
 {
     const auto members = static_cast<std::int64_t>(std::max(m_roster->size(), membersAtShortestInterval));
     return std::min<milliseconds>(
         shortestAskInterval * members / membersAtShortestInterval, longestAskInterval);
 }
 
-milliseconds fleet_limits::nextAskAfter(steady_time now)
+milliseconds distributed_rate_limiter::nextAskAfter(steady_time now)
 {
-    const bool hurries = m_roster->starting(now) || (active(now) && awaitsLoans(now));
+    const bool hurries = m_roster->starting(now) || (active(now) && isAwaitingLoans(now));
     return hurries ? std::chrono::duration_cast<milliseconds>(askInterval() * firstAsksInterval)
                    : askInterval();
 }
 
-milliseconds fleet_limits::loanTime() const
+milliseconds distributed_rate_limiter::loanTime() const
 {
     return std::max(askInterval() * loanIntervals, shortestLoan);
 }
 
-bool fleet_limits::awaitsLoans(steady_time now)
+bool distributed_rate_limiter::isAwaitingLoans(steady_time now)
 {
-    return part(now) <= 0 || now - m_activeSince <= loanTime();
+    return share(now) <= 0 || now - m_activeSince <= loanTime();
 }
 
-double fleet_limits::part(steady_time now)
+double distributed_rate_limiter::share(steady_time now)
 {
     refreshPart(now);
     return m_part;
 }
 
-void fleet_limits::refreshPart(steady_time now)
+void distributed_rate_limiter::refreshPart(steady_time now)
 {
     if (m_partComputed == steady_time {} || now - m_partComputed >= partInterval)
         updatePart(now);
 }
 
-void fleet_limits::updatePart(steady_time now)
+void distributed_rate_limiter::updatePart(steady_time now)
 {
     m_partComputed = now;
-    const double part = computePart(now);
-    if (std::abs(part - m_part) > noPart) {
-        m_part = part;
+    const double share = computePart(now);
+    if (std::abs(share - m_part) > noPart) {
+        m_part = share;
         for (auto& [customer, bucket] : m_buckets)
-            bucket.setPart(part, now);
+            bucket.setPart(share, now);
     }
     fillAtStart();
 }
 
-double fleet_limits::computePart(steady_time now)
+double distributed_rate_limiter::computePart(steady_time now)
 {
     // Until it has registered itself, others do not know that it grants.
     m_owned = m_roster->ownPart(loanTime(), now);
@@ -194,7 +194,7 @@
 }
 
 /// The part that a process owns grows while it starts, as one member after the other is heard.
-void fleet_limits::fillAtStart()
+void distributed_rate_limiter::fillAtStart()
 {
     const double owned = std::holds_alternative<even_shares>(m_policy) ? m_part : m_owned;
     if (owned <= m_filledPart || (m_filledPart > 0 && !m_roster->isNew(m_partComputed)))
@@ -204,12 +204,12 @@
     m_filledPart = owned;
 }
 
-bool fleet_limits::settled(steady_time now)
+bool distributed_rate_limiter::settled(steady_time now)
 {
     return m_lender->lent(now) <= m_owned + noPart;
 }
 
-milliseconds fleet_limits::take(std::string_view customer, bool begun, steady_time now)
+milliseconds distributed_rate_limiter::tryAcquire(std::string_view customer, bool begun, steady_time now)
 {
     const auto found = m_buckets.find(hashText(customer));
     if (found == m_buckets.end())
@@ -232,7 +232,7 @@
 }
 
 /// Those that are refused come back one after the other, as tokens flow in.
-milliseconds fleet_limits::promise(request_bucket& bucket, double missing, steady_time now)
+milliseconds distributed_rate_limiter::promise(request_bucket& bucket, double missing, steady_time now)
 {
     ++m_refused;
     // Others pass on what flows in at them, unless they need it themselves.
@@ -249,7 +249,7 @@
     return std::max(leastReturn, std::chrono::duration_cast<milliseconds>(bucket.promisedUntil - now));
 }
 
-void fleet_limits::giveBack(std::string_view customer, steady_time now)
+void distributed_rate_limiter::refund(std::string_view customer, steady_time now)
 {
     const auto found = m_buckets.find(hashText(customer));
     if (found == m_buckets.end())
@@ -258,40 +258,40 @@
     found->second.add(1);
 }
 
-bool fleet_limits::grants(std::string_view vm, steady_time now) const
+bool distributed_rate_limiter::isGranting(std::string_view vm, steady_time now) const
 {
     return m_lender->lendsTo(vm, now);
 }
 
-double fleet_limits::grantingProcesses(steady_time now) const
+double distributed_rate_limiter::grantingProcesses(steady_time now) const
 {
     return m_lender->borrowers(now) + (active(now) ? 1 : 0);
 }
 
-limit_message fleet_limits::messageWith(limit_message_body body) const
+limit_message distributed_rate_limiter::messageWith(limit_message_body body) const
 {
     return { m_vm, m_incarnation, std::move(body) };
 }
 
-bool fleet_limits::isSilent() const
+bool distributed_rate_limiter::isSilent() const
 {
     return std::holds_alternative<even_shares>(m_policy) || !m_roster->knowsSelf();
 }
 
-std::optional<limit_message> fleet_limits::takeShareAsk(steady_time now)
+std::optional<limit_message> distributed_rate_limiter::nextShareRequest(steady_time now)
 {
     if (isSilent() || (!active(now) && !m_roster->starting(now)) || now - m_lastAsk < nextAskAfter(now))
         return std::nullopt;
     m_lastAsk = now;
-    share_ask ask { toStamp(now), active(now), {} };
+    share_request ask { toStamp(now), active(now), {} };
     if (ask.borrows && now - m_lastSurvey >= surveyInterval) {
         m_lastSurvey = now;
-        ask.survey = m_roster->survey(now);
+        ask.reachability = m_roster->reachability(now);
     }
     return messageWith(std::move(ask));
 }
 
-std::optional<limit_message> fleet_limits::takeTokenRequest(steady_time now)
+std::optional<limit_message> distributed_rate_limiter::nextTokenRequest(steady_time now)
 {
     if (isSilent() || !active(now) || now - m_lastRequest < requestInterval)
         return std::nullopt;
@@ -312,7 +312,8 @@
     return messageWith(std::move(request));
 }
 
-std::optional<limit_message> fleet_limits::heard(const limit_message& message, steady_time now)
+std::optional<limit_message> distributed_rate_limiter::handleMessage(
+    const limit_message& message, steady_time now)
 {
     const auto known = m_peers.find(message.vm);
     const bool ended = known != m_peers.end() && known->second.former == message.incarnation;
@@ -322,7 +323,7 @@
     return std::visit([&](const auto& body) { return answer(message, body, now); }, message.body);
 }
 
-void fleet_limits::notice(const limit_message& message, steady_time now)
+void distributed_rate_limiter::notice(const limit_message& message, steady_time now)
 {
     auto& peer = m_peers[message.vm];
     if (peer.incarnation != message.incarnation) {
@@ -334,17 +335,17 @@
     updatePart(now);
 }
 
-std::optional<limit_message> fleet_limits::answer(
-    const limit_message& from, const share_ask& ask, steady_time now)
+std::optional<limit_message> distributed_rate_limiter::answer(
+    const limit_message& from, const share_request& ask, steady_time now)
 {
-    m_roster->noteSurvey(ask.survey, now);
+    m_roster->noteSurvey(ask.reachability, now);
     share_loan loan;
     loan.borrowerIncarnation = from.incarnation;
-    loan.askStamp = ask.stamp;
+    loan.requestStamp = ask.stamp;
     loan.validFor = loanTime();
     if (ask.borrows) {
         const auto given = m_lender->lend(from.vm, { m_owned, active(now), loan.validFor }, now);
-        loan.part = given.part;
+        loan.share = given.share;
         loan.added = given.added;
         moveTokens(loan, now);
     }
@@ -354,7 +355,7 @@
 }
 
 /// Tokens go along with the part that is lent: of each bucket the same share.
-void fleet_limits::moveTokens(share_loan& loan, steady_time now)
+void distributed_rate_limiter::moveTokens(share_loan& loan, steady_time now)
 {
     if (loan.added <= noPart)
         return;
@@ -381,14 +382,14 @@
     updatePart(now);
 }
 
-std::optional<limit_message> fleet_limits::answer(
+std::optional<limit_message> distributed_rate_limiter::answer(
     const limit_message& from, const share_loan& loan, steady_time now)
 {
     if (loan.borrowerIncarnation != m_incarnation)
         return std::nullopt;
     if (loan.settled)
         m_roster->confirmed(from.vm);
-    const bool valid = loan.part > 0 && m_borrower->take(from.vm, loan, now);
+    const bool valid = loan.share > 0 && m_borrower->take(from.vm, loan, now);
     updatePart(now);
     if (valid && loan.added > noPart)
         receiveTokens(loan, now);
@@ -400,7 +401,7 @@
     return messageWith(std::move(confirmation));
 }
 
-void fleet_limits::receiveTokens(const share_loan& loan, steady_time now)
+void distributed_rate_limiter::receiveTokens(const share_loan& loan, steady_time now)
 {
     std::map<std::uint64_t, std::uint32_t> emptier;
     for (const auto& fill : loan.emptier)
@@ -412,7 +413,7 @@
     }
 }
 
-std::optional<limit_message> fleet_limits::answer(
+std::optional<limit_message> distributed_rate_limiter::answer(
     const limit_message& from, const token_request& request, steady_time now)
 {
     const double users = std::max(2.0, grantingProcesses(now));
@@ -438,7 +439,7 @@
     return messageWith(std::move(transfer));
 }
 
-std::optional<limit_message> fleet_limits::answer(
+std::optional<limit_message> distributed_rate_limiter::answer(
     const limit_message& from, const token_transfer& transfer, steady_time now)
 {
     auto& last = m_peers[from.vm].lastTransfer;
@@ -458,7 +459,8 @@
     return std::nullopt;
 }
 
-std::optional<fleet_limits::usage> fleet_limits::usageOf(std::string_view customer, steady_time now)
+std::optional<distributed_rate_limiter::usage> distributed_rate_limiter::usageOf(
+    std::string_view customer, steady_time now)
 {
     const auto found = m_buckets.find(hashText(customer));
     if (found == m_buckets.end())
--- a/libs/limits/src/limit_roster.cpp
+++ b/libs/limits/src/limit_roster.cpp
@@ -77,7 +77,7 @@
     member.goneSince.reset();
 }
 
-void limit_roster::setStoreReached(bool reached, steady_time now)
+void limit_roster::setStoreReachable(bool reached, steady_time now)
 {
     m_storeReached = reached;
     noteSeen(now);
@@ -113,29 +113,30 @@
     member.goneSince.reset();
 }
 
-member_survey limit_roster::survey(steady_time now)
+reachability_report limit_roster::reachability(steady_time now)
 {
-    member_survey survey;
+    reachability_report reachability;
     for (const auto& [vm, member] : m_members) {
         if (vm != m_vm && now - member.lastHeard > heardFor)
-            survey.silent.push_back(vm);
+            reachability.unresponsive.push_back(vm);
     }
-    survey.hearsMost = 2 * survey.silent.size() < m_members.size();
-    if (survey.hearsMost)
+    reachability.hasMajority = 2 * reachability.unresponsive.size() < m_members.size();
+    if (reachability.hasMajority)
         m_hearsMostAt = now;
     else
-        survey.silent.clear();
-    return survey;
+        reachability.unresponsive.clear();
+    return reachability;
 }
 
-void limit_roster::noteSurvey(const member_survey& survey, steady_time now)
+void limit_roster::noteSurvey(const reachability_report& reachability, steady_time now)
 {
-    if (!survey.hearsMost)
+    if (!reachability.hasMajority)
         return;
     m_hearsMostAt = now;
-    const std::set<std::string_view> silent(survey.silent.begin(), survey.silent.end());
+    const std::set<std::string_view> unresponsive(
+        reachability.unresponsive.begin(), reachability.unresponsive.end());
     for (auto& [vm, member] : m_members) {
-        if (!silent.contains(vm))
+        if (!unresponsive.contains(vm))
             member.lastKnown = now;
     }
 }
@@ -182,8 +183,8 @@
 /// Two sides of a cut cannot both hear most members: only one may take a part of what the other owns.
 bool limit_roster::countsInFull(std::string_view vm, const member_state& member, steady_time now) const
 {
-    const bool hearsMost = now - m_hearsMostAt <= heardFor;
-    return vm == m_vm || member.registered || !hearsMost || now - member.lastKnown <= fullPartFor;
+    const bool hasMajority = now - m_hearsMostAt <= heardFor;
+    return vm == m_vm || member.registered || !hasMajority || now - member.lastKnown <= fullPartFor;
 }
 
 bool limit_roster::mayCountAsAbsent(steady_time now) const
@@ -204,21 +205,21 @@
         if (countsInFull(vm, member, now))
             ++owners;
         else
-            keptForAbsent += partLeftWhenCutOff * member.part;
+            keptForAbsent += partLeftWhenCutOff * member.share;
         if (vm != m_vm && !member.countsThis)
             ++unaware;
     }
-    const double part = std::max(0.0, 1 - keptForAbsent) / owners;
+    const double share = std::max(0.0, 1 - keptForAbsent) / owners;
     for (auto& [vm, member] : m_members) {
         if (countsInFull(vm, member, now))
-            member.part = part;
+            member.share = share;
     }
     // Who does not count this process owns a larger part.
     if (unaware > 0 && now - *m_started < loanTime)
         return 0;
     const double others = static_cast<double>(m_members.size()) - 1;
     const double ownShare = others > 0 ? 1 - unaware / others : 1;
-    return part * ownShare * (mayCountAsAbsent(now) ? partLeftWhenCutOff : 1);
+    return share * ownShare * (mayCountAsAbsent(now) ? partLeftWhenCutOff : 1);
 }
 
 bool limit_roster::isNew(steady_time now) const
--- a/libs/limits/src/limit_roster.h
+++ b/libs/limits/src/limit_roster.h
@@ -14,15 +14,15 @@
     explicit limit_roster(std::string vm);
 
     void setMembers(std::span<const limit_member> members, steady_time now);
-    void setStoreReached(bool reached, steady_time now);
+    void setStoreReachable(bool reached, steady_time now);
     void leave() { m_leaving = true; }
     /// A process that is heard may own a part, also if the list does not name it: its registration may have
     /// lapsed while it was cut off.
     void heard(const std::string& vm, steady_time now);
     /// Whom this process has heard lately, to be told to the others; only members that grant hear all others.
-    member_survey survey(steady_time now);
+    reachability_report reachability(steady_time now);
     /// What another process says of whom it hears.
-    void noteSurvey(const member_survey& survey, steady_time now);
+    void noteSurvey(const reachability_report& reachability, steady_time now);
     /// A member has said that it counts this process.
     void confirmed(std::string_view vm);
     bool lacksConfirmation(std::string_view vm) const;
@@ -50,7 +50,7 @@
         bool registered = false;
         bool recorded = false; ///< It is in the list.
         std::optional<steady_time> goneSince; ///< It has left, or its record was removed.
-        double part = 0; ///< That it owns while it counts in full.
+        double share = 0; ///< That it owns while it counts in full.
         bool countsThis = false; ///< It has said so.
     };
 
--- a/libs/limits/src/request_bucket.cpp
+++ b/libs/limits/src/request_bucket.cpp
@@ -15,13 +15,13 @@
 } // namespace
 
 request_bucket::request_bucket(
-    const request_limit& limit, const limit_bounds& bounds, double part, steady_time now)
+    const request_limit& limit, const limit_bounds& bounds, double share, steady_time now)
     : m_limit(limit)
     , m_bounds(bounds)
-    , m_part(part)
+    , m_part(share)
     , m_updated(now)
 {
-    add(startLevel() * part);
+    add(startLevel() * share);
 }
 
 double request_bucket::slack() const
@@ -50,10 +50,10 @@
     dropExcess();
 }
 
-void request_bucket::setPart(double part, steady_time now)
+void request_bucket::setPart(double share, steady_time now)
 {
     advance(now);
-    m_part = part;
+    m_part = share;
     dropExcess();
 }
 
--- a/libs/limits/src/request_bucket.h
+++ b/libs/limits/src/request_bucket.h
@@ -8,12 +8,12 @@
 /// process holds, up to that part of the capacity.
 class request_bucket {
 public:
-    request_bucket(const request_limit& limit, const limit_bounds& bounds, double part, steady_time now);
+    request_bucket(const request_limit& limit, const limit_bounds& bounds, double share, steady_time now);
 
     void setLimit(const request_limit& limit);
     const request_limit& limit() const { return m_limit; }
     /// What is in it beyond the new part's capacity is gone.
-    void setPart(double part, steady_time now);
+    void setPart(double share, steady_time now);
     void advance(steady_time now);
 
     double level() const { return m_level; }
--- a/libs/limits/src/share_loans.cpp
+++ b/libs/limits/src/share_loans.cpp
@@ -17,9 +17,9 @@
         std::chrono::duration_cast<std::chrono::microseconds>(time.time_since_epoch()).count());
 }
 
-steady_time loanEnd(std::uint64_t askStamp, milliseconds validFor)
+steady_time loanEnd(std::uint64_t requestStamp, milliseconds validFor)
 {
-    const auto asked = steady_time { std::chrono::microseconds { static_cast<std::int64_t>(askStamp) } };
+    const auto asked = steady_time { std::chrono::microseconds { static_cast<std::int64_t>(requestStamp) } };
     return asked + validFor - endMargin;
 }
 
@@ -37,11 +37,11 @@
     const double share = terms.owned / users;
     const double kept = terms.keepsShare ? share : 0;
     loan given;
-    given.part = std::clamp(terms.owned - lentToOthers - kept, 0.0, share);
-    given.added = std::max(0.0, given.part - state.lent());
-    while (!state.promises.empty() && state.promises.back().part <= given.part)
+    given.share = std::clamp(terms.owned - lentToOthers - kept, 0.0, share);
+    given.added = std::max(0.0, given.share - state.lent());
+    while (!state.promises.empty() && state.promises.back().share <= given.share)
         state.promises.pop_back();
-    state.promises.push_back({ given.part, now + terms.validFor });
+    state.promises.push_back({ given.share, now + terms.validFor });
     return given;
 }
 
@@ -85,12 +85,12 @@
 
 bool share_borrower::take(const std::string& lender, const share_loan& loan, steady_time now)
 {
-    const auto until = loanEnd(loan.askStamp, loan.validFor);
+    const auto until = loanEnd(loan.requestStamp, loan.validFor);
     const auto known = m_loans.find(lender);
-    const bool outdated = known != m_loans.end() && known->second.askStamp >= loan.askStamp;
+    const bool outdated = known != m_loans.end() && known->second.requestStamp >= loan.requestStamp;
     if (until <= now || outdated)
         return false;
-    m_loans[lender] = { loan.part, loan.askStamp, until };
+    m_loans[lender] = { loan.share, loan.requestStamp, until };
     return true;
 }
 
@@ -106,7 +106,7 @@
     std::erase_if(m_loans, [&](const auto& entry) { return entry.second.until <= now; });
     double sum = 0;
     for (const auto& [vm, loan] : m_loans)
-        sum += loan.part;
+        sum += loan.share;
     return sum;
 }
 
--- a/libs/limits/src/share_loans.h
+++ b/libs/limits/src/share_loans.h
@@ -15,7 +15,7 @@
         milliseconds validFor { 0 };
     };
     struct loan {
-        double part = 0;
+        double share = 0;
         double added = 0; ///< Of that, what the borrower cannot have any more from before.
     };
 
@@ -32,14 +32,14 @@
 
 private:
     struct promise {
-        double part;
+        double share;
         steady_time until;
     };
     struct borrower_state {
         std::deque<promise> promises; ///< The largest first, each later one lasting longer.
         steady_time asksUntil; ///< Counts as a borrower so long.
 
-        double lent() const { return promises.empty() ? 0 : promises.front().part; }
+        double lent() const { return promises.empty() ? 0 : promises.front().share; }
     };
 
     void forgetPast(steady_time now);
@@ -58,8 +58,8 @@
 
 private:
     struct loan_state {
-        double part;
-        std::uint64_t askStamp;
+        double share;
+        std::uint64_t requestStamp;
         steady_time until;
     };
 
@@ -68,6 +68,6 @@
 
 std::uint64_t toStamp(steady_time time);
 /// When a borrower stops using what it asked for at a time: some time before its end.
-steady_time loanEnd(std::uint64_t askStamp, milliseconds validFor);
+steady_time loanEnd(std::uint64_t requestStamp, milliseconds validFor);
 
 } // namespace yuccachute
--- a/libs/limits/tests/model_limits.cpp
+++ b/libs/limits/tests/model_limits.cpp
@@ -36,7 +36,7 @@
 {
     auto& started = m_processes[process];
     ++started.incarnation;
-    started.limits = std::make_unique<fleet_limits>(
+    started.limits = std::make_unique<distributed_rate_limiter>(
         vmOf(process), started.incarnation, m_options.policy, m_options.bounds);
     started.limits->setCustomers(customers(), m_now);
     if (started.island == 0)
@@ -97,7 +97,7 @@
         }
         if (!reaches(next.from, next.to))
             continue;
-        if (const auto answer = m_processes[next.to].limits->heard(next.content, m_now))
+        if (const auto answer = m_processes[next.to].limits->handleMessage(next.content, m_now))
             send(next.to, next.from, *answer);
     }
 }
@@ -105,14 +105,14 @@
 void model_limits::tick(std::size_t process)
 {
     auto& limits = *m_processes[process].limits;
-    const auto ask = limits.takeShareAsk(m_now);
-    const auto request = limits.takeTokenRequest(m_now);
+    const auto ask = limits.nextShareRequest(m_now);
+    const auto request = limits.nextTokenRequest(m_now);
     for (std::size_t other = 0; other < m_processes.size(); ++other) {
         if (other == process)
             continue;
         if (ask)
             send(process, other, *ask);
-        if (request && limits.grants(vmOf(other), m_now))
+        if (request && limits.isGranting(vmOf(other), m_now))
             send(process, other, *request);
     }
 }
@@ -132,8 +132,8 @@
         auto& one = m_processes[i];
         if (!one.limits)
             continue;
-        one.limits->setDispatches(dispatcherFor(zoneOf(i), one.island) == i, m_now);
-        one.limits->setStoreReached(one.island == 0, m_now);
+        one.limits->setIsDispatcher(dispatcherFor(zoneOf(i), one.island) == i, m_now);
+        one.limits->setStoreReachable(one.island == 0, m_now);
         if (one.island == 0)
             one.limits->setMembers(members, m_now);
     }
@@ -163,7 +163,7 @@
         return;
     const auto entry = entries[m_random() % entries.size()];
     const auto dispatcher = dispatcherFor(zone, m_processes[entry].island);
-    if (m_processes[dispatcher].limits->take(customerName, false, m_now).count() == 0)
+    if (m_processes[dispatcher].limits->tryAcquire(customerName, false, m_now).count() == 0)
         m_grants.push_back(m_now);
     else
         ++m_refused;
@@ -173,7 +173,7 @@
 {
     double sum = 0;
     for (auto& one : m_processes)
-        sum += one.limits ? one.limits->part(m_now) : 0;
+        sum += one.limits ? one.limits->share(m_now) : 0;
     m_mostParts = std::max(m_mostParts, sum);
 }
 
--- a/libs/limits/tests/model_limits.h
+++ b/libs/limits/tests/model_limits.h
@@ -53,7 +53,7 @@
 
 private:
     struct process {
-        std::unique_ptr<fleet_limits> limits; ///< Null while it is dead.
+        std::unique_ptr<distributed_rate_limiter> limits; ///< Null while it is dead.
         std::uint64_t incarnation = 0;
         int island = 0;
         bool deaf = false;
--- a/libs/limits/tests/test_limits.cpp
+++ b/libs/limits/tests/test_limits.cpp
@@ -14,10 +14,10 @@
     return start + milliseconds { ms };
 }
 
-fleet_limits limitsOf(
+distributed_rate_limiter limitsOf(
     const std::string& vm, limit_policy policy = lent_shares {}, std::uint64_t incarnation = 1)
 {
-    fleet_limits limits(vm, incarnation, policy, {});
+    distributed_rate_limiter limits(vm, incarnation, policy, {});
     customer_directory customers;
     customers.add({ "firm", 0, 10, 10, 0 }, {});
     customers.add({ "free", 0, 0, 0, 0 }, {});
@@ -27,32 +27,33 @@
 
 const std::vector<limit_member> two { { "a", "zone-a" }, { "b", "zone-b" } };
 
-int grantsAt(fleet_limits& limits, steady_time now, int tries)
+int grantsAt(distributed_rate_limiter& limits, steady_time now, int tries)
 {
     int granted = 0;
     for (int i = 0; i < tries; ++i)
-        granted += limits.take("firm", false, now).count() == 0 ? 1 : 0;
+        granted += limits.tryAcquire("firm", false, now).count() == 0 ? 1 : 0;
     return granted;
 }
 
 /// The process asks the other for a loan; both may have changed their minds about their parts afterwards.
-std::optional<limit_message> loanFrom(fleet_limits& lender, fleet_limits& borrower, steady_time now)
+std::optional<limit_message> loanFrom(
+    distributed_rate_limiter& lender, distributed_rate_limiter& borrower, steady_time now)
 {
-    const auto ask = borrower.takeShareAsk(now);
-    return ask ? lender.heard(*ask, now) : std::nullopt;
+    const auto ask = borrower.nextShareRequest(now);
+    return ask ? lender.handleMessage(*ask, now) : std::nullopt;
 }
 
-void borrow(fleet_limits& lender, fleet_limits& borrower, steady_time now)
+void borrow(distributed_rate_limiter& lender, distributed_rate_limiter& borrower, steady_time now)
 {
     const auto loan = loanFrom(lender, borrower, now);
     REQUIRE(loan);
-    borrower.heard(*loan, now);
+    borrower.handleMessage(*loan, now);
 }
 
 /// Two processes that know of each other and are past their start.
 struct pair_of_limits {
-    fleet_limits a = limitsOf("a");
-    fleet_limits b = limitsOf("b");
+    distributed_rate_limiter a = limitsOf("a");
+    distributed_rate_limiter b = limitsOf("b");
 
     pair_of_limits()
     {
@@ -68,9 +69,9 @@
 TEST_CASE("customers without a limit are always granted, also by a process that is not listed")
 {
     auto limits = limitsOf("a");
-    CHECK(limits.take("free", false, start).count() == 0);
-    CHECK(limits.take("unknown", false, start).count() == 0);
-    CHECK(limits.take("firm", false, start).count() > 0);
+    CHECK(limits.tryAcquire("free", false, start).count() == 0);
+    CHECK(limits.tryAcquire("unknown", false, start).count() == 0);
+    CHECK(limits.tryAcquire("firm", false, start).count() > 0);
 }
 
 TEST_CASE("those that are refused are told to come back one after the other, as tokens flow in")
@@ -79,13 +80,13 @@
     limits.setMembers(std::vector<limit_member> { { "a", "zone-a" } }, start);
     auto last = milliseconds { 0 };
     while (last.count() == 0)
-        last = limits.take("firm", false, start);
+        last = limits.tryAcquire("firm", false, start);
     for (int i = 0; i < 5; ++i) {
-        const auto wait = limits.take("firm", false, start);
+        const auto wait = limits.tryAcquire("firm", false, start);
         CHECK(wait > last);
         last = wait;
     }
-    CHECK(limits.take("firm", false, start + last).count() == 0);
+    CHECK(limits.tryAcquire("firm", false, start + last).count() == 0);
 }
 
 TEST_CASE("a token that was not used is there again")
@@ -93,9 +94,9 @@
     auto limits = limitsOf("a");
     limits.setMembers(std::vector<limit_member> { { "a", "zone-a" } }, start);
     grantsAt(limits, start, 100);
-    CHECK(limits.take("firm", false, start).count() > 0);
-    limits.giveBack("firm", start);
-    CHECK(limits.take("firm", false, start).count() == 0);
+    CHECK(limits.tryAcquire("firm", false, start).count() > 0);
+    limits.refund("firm", start);
+    CHECK(limits.tryAcquire("firm", false, start).count() == 0);
 }
 
 // Story: a stream breaks in the middle while its customer's bucket is empty. Refused its place at another
@@ -105,10 +106,10 @@
     auto limits = limitsOf("a");
     limits.setMembers(std::vector<limit_member> { { "a", "zone-a" } }, start);
     grantsAt(limits, start, 100);
-    CHECK(limits.take("firm", true, start).count() == 0);
-    CHECK(limits.take("firm", false, at(50)).count() > 0);
+    CHECK(limits.tryAcquire("firm", true, start).count() == 0);
+    CHECK(limits.tryAcquire("firm", false, at(50)).count() > 0);
     int onCredit = 1;
-    while (limits.take("firm", true, start).count() == 0)
+    while (limits.tryAcquire("firm", true, start).count() == 0)
         ++onCredit;
     CHECK(onCredit <= 5);
 }
@@ -118,15 +119,15 @@
 {
     pair_of_limits fleet;
     auto& [a, b] = fleet;
-    CHECK(a.part(at(100)) == Approx(0.5));
+    CHECK(a.share(at(100)) == Approx(0.5));
     grantsAt(a, at(1000), 1);
     borrow(b, a, at(1000));
-    CHECK(a.part(at(1000)) == Approx(1.0));
-    CHECK(b.part(at(1000)) == Approx(0.0));
-    CHECK(a.part(at(1500)) == Approx(1.0));
-    CHECK(b.part(at(1590)) == Approx(0.0));
-    CHECK(a.part(at(1590)) == Approx(0.5));
-    CHECK(b.part(at(1610)) == Approx(0.5));
+    CHECK(a.share(at(1000)) == Approx(1.0));
+    CHECK(b.share(at(1000)) == Approx(0.0));
+    CHECK(a.share(at(1500)) == Approx(1.0));
+    CHECK(b.share(at(1590)) == Approx(0.0));
+    CHECK(a.share(at(1590)) == Approx(0.5));
+    CHECK(b.share(at(1610)) == Approx(0.5));
 }
 
 namespace {
@@ -135,28 +136,29 @@
 
 /// Three processes; each grants.
 struct three_limits {
-    fleet_limits a = limitsOf("a");
-    fleet_limits b = limitsOf("b");
-    fleet_limits c = limitsOf("c");
+    distributed_rate_limiter a = limitsOf("a");
+    distributed_rate_limiter b = limitsOf("b");
+    distributed_rate_limiter c = limitsOf("c");
 
     three_limits()
     {
         for (auto* one : { &a, &b, &c }) {
             one->setMembers(three, start);
-            one->setDispatches(true, start);
+            one->setIsDispatcher(true, start);
         }
     }
 
     /// The processes ask each other every 100 ms.
-    void run(int fromMs, int toMs, std::span<fleet_limits* const> inTouch)
+    void run(int fromMs, int toMs, std::span<distributed_rate_limiter* const> inTouch)
     {
         for (int ms = fromMs; ms < toMs; ms += 100) {
             for (auto* borrower : inTouch) {
-                const auto ask = borrower->takeShareAsk(at(ms));
+                const auto ask = borrower->nextShareRequest(at(ms));
                 for (auto* lender : inTouch) {
-                    const auto loan = ask && lender != borrower ? lender->heard(*ask, at(ms)) : std::nullopt;
+                    const auto loan
+                        = ask && lender != borrower ? lender->handleMessage(*ask, at(ms)) : std::nullopt;
                     if (loan)
-                        borrower->heard(*loan, at(ms));
+                        borrower->handleMessage(*loan, at(ms));
                 }
             }
         }
@@ -170,21 +172,21 @@
 {
     three_limits fleet;
     auto& [a, b, c] = fleet;
-    const std::vector<fleet_limits*> all { &a, &b, &c };
-    const std::vector<fleet_limits*> others { &a, &b };
+    const std::vector<distributed_rate_limiter*> all { &a, &b, &c };
+    const std::vector<distributed_rate_limiter*> others { &a, &b };
     fleet.run(0, 4000, all);
-    CHECK(a.part(at(4000)) + b.part(at(4000)) + c.part(at(4000)) == Approx(1.0));
-    c.setStoreReached(false, at(4000));
+    CHECK(a.share(at(4000)) + b.share(at(4000)) + c.share(at(4000)) == Approx(1.0));
+    c.setStoreReachable(false, at(4000));
     auto cLapsed = three;
     cLapsed[2].registered = false;
     for (auto* one : others)
         one->setMembers(cLapsed, at(8000));
     fleet.run(4000, 65000, others);
-    CHECK(a.part(at(65000)) + b.part(at(65000)) == Approx(2.0 / 3));
-    CHECK(c.part(at(45000)) == Approx(1.0 / 3));
-    CHECK(c.part(at(60000)) == Approx(0.5 / 3));
+    CHECK(a.share(at(65000)) + b.share(at(65000)) == Approx(2.0 / 3));
+    CHECK(c.share(at(45000)) == Approx(1.0 / 3));
+    CHECK(c.share(at(60000)) == Approx(0.5 / 3));
     fleet.run(65000, 75000, others);
-    CHECK(a.part(at(75000)) + b.part(at(75000)) == Approx(1 - 0.5 / 3));
+    CHECK(a.share(at(75000)) + b.share(at(75000)) == Approx(1 - 0.5 / 3));
 }
 
 // Guards against limits that are halved everywhere when the store is away for long.
@@ -192,21 +194,21 @@
 {
     three_limits fleet;
     auto& [a, b, c] = fleet;
-    const std::vector<fleet_limits*> all { &a, &b, &c };
+    const std::vector<distributed_rate_limiter*> all { &a, &b, &c };
     for (auto* one : all)
-        one->setStoreReached(false, at(4000));
+        one->setStoreReachable(false, at(4000));
     fleet.run(0, 120000, all);
-    CHECK(a.part(at(120000)) + b.part(at(120000)) + c.part(at(120000)) == Approx(1.0));
+    CHECK(a.share(at(120000)) + b.share(at(120000)) + c.share(at(120000)) == Approx(1.0));
     // All registrations have lapsed when it is back.
     auto lapsed = three;
     for (auto& member : lapsed)
         member.registered = false;
     for (auto* one : all) {
-        one->setStoreReached(true, at(120000));
+        one->setStoreReachable(true, at(120000));
         one->setMembers(lapsed, at(120000));
     }
     fleet.run(120000, 122000, all);
-    CHECK(a.part(at(122000)) + b.part(at(122000)) + c.part(at(122000)) == Approx(1.0));
+    CHECK(a.share(at(122000)) + b.share(at(122000)) + c.share(at(122000)) == Approx(1.0));
 }
 
 // Guards against a small side of a cut that takes over what the larger side goes on using.
@@ -214,18 +216,18 @@
 {
     three_limits fleet;
     auto& [a, b, c] = fleet;
-    const std::vector<fleet_limits*> all { &a, &b, &c };
-    const std::vector<fleet_limits*> withoutStore { &b, &c };
+    const std::vector<distributed_rate_limiter*> all { &a, &b, &c };
+    const std::vector<distributed_rate_limiter*> withoutStore { &b, &c };
     fleet.run(0, 4000, all);
     auto alone = three;
     alone[1].registered = false;
     alone[2].registered = false;
     a.setMembers(alone, at(8000));
     for (auto* one : withoutStore)
-        one->setStoreReached(false, at(4000));
+        one->setStoreReachable(false, at(4000));
     fleet.run(4000, 100000, withoutStore);
-    CHECK(a.part(at(100000)) == Approx(1.0 / 3));
-    CHECK(b.part(at(100000)) + c.part(at(100000)) == Approx(2.0 / 3));
+    CHECK(a.share(at(100000)) == Approx(1.0 / 3));
+    CHECK(b.share(at(100000)) + c.share(at(100000)) == Approx(2.0 / 3));
 }
 
 // Story: a dispatcher dies, and the next one has been asked nothing for a while. It takes the others, which
@@ -234,14 +236,14 @@
 {
     auto limits = limitsOf("a");
     limits.setMembers(two, start);
-    limits.setStoreReached(true, at(8000));
+    limits.setStoreReachable(true, at(8000));
     CHECK(grantsAt(limits, at(10000), 100) >= 10);
     auto other = limitsOf("b");
     other.setMembers(two, start);
-    other.setStoreReached(true, at(8000));
+    other.setStoreReachable(true, at(8000));
     const auto loan = loanFrom(other, limits, at(10010));
     REQUIRE(loan);
-    limits.heard(*loan, at(10030));
+    limits.handleMessage(*loan, at(10030));
     CHECK(grantsAt(limits, at(10060), 100) >= 8);
 }
 
@@ -253,13 +255,13 @@
     grantsAt(a, at(9000), 1);
     borrow(b, a, at(9000));
     CHECK(grantsAt(b, at(9100), 1) == 0);
-    CHECK(b.awaitsLoans(at(9100)));
-    const auto request = b.takeTokenRequest(at(9100));
+    CHECK(b.isAwaitingLoans(at(9100)));
+    const auto request = b.nextTokenRequest(at(9100));
     REQUIRE(request);
     const auto before = a.usageOf("firm", at(9100))->level;
-    const auto tokens = a.heard(*request, at(9110));
+    const auto tokens = a.handleMessage(*request, at(9110));
     REQUIRE(tokens);
-    b.heard(*tokens, at(9120));
+    b.handleMessage(*tokens, at(9120));
     const auto passed = b.usageOf("firm", at(9120))->level;
     CHECK(passed >= 5);
     CHECK(a.usageOf("firm", at(9120))->level <= before + 0.5 - passed);
@@ -272,10 +274,10 @@
     auto& a = fleet.a;
     const std::vector<limit_member> bLeaves { { "a", "zone-a" }, { "b", "zone-b", true } };
     a.setMembers(bLeaves, at(100));
-    CHECK(a.part(at(500)) == Approx(0.5));
-    CHECK(a.part(at(800)) == Approx(1.0));
+    CHECK(a.share(at(500)) == Approx(0.5));
+    CHECK(a.share(at(800)) == Approx(1.0));
     fleet.b.leave(at(90));
-    CHECK(fleet.b.part(at(90)) == Approx(0.0));
+    CHECK(fleet.b.share(at(90)) == Approx(0.0));
 }
 
 TEST_CASE("tokens that are lent leave the lender, and arrive once")
@@ -288,8 +290,8 @@
     const auto borrowers = a.usageOf("firm", at(5000))->level;
     const auto loan = loanFrom(b, a, at(5000));
     REQUIRE(loan);
-    a.heard(*loan, at(5000));
-    a.heard(*loan, at(5000));
+    a.handleMessage(*loan, at(5000));
+    a.handleMessage(*loan, at(5000));
     CHECK(b.usageOf("firm", at(5000))->level == Approx(0.0));
     CHECK(a.usageOf("firm", at(5000))->level <= borrowers + lenders + 0.01);
     CHECK(a.usageOf("firm", at(5000))->level >= borrowers + 0.9 * lenders);
@@ -317,27 +319,27 @@
     auto& a = fleet.a;
     grantsAt(a, at(1000), 1);
     borrow(fleet.b, a, at(1000));
-    CHECK(a.part(at(1000)) == Approx(1.0));
+    CHECK(a.share(at(1000)) == Approx(1.0));
     auto restarted = limitsOf("b", lent_shares {}, 2);
     restarted.setMembers(two, at(1100));
-    CHECK(restarted.part(at(1100)) == Approx(0.0));
-    const auto ask = restarted.takeShareAsk(at(1100));
+    CHECK(restarted.share(at(1100)) == Approx(0.0));
+    const auto ask = restarted.nextShareRequest(at(1100));
     REQUIRE(ask);
-    const auto answer = a.heard(*ask, at(1110));
-    CHECK(a.part(at(1110)) == Approx(0.5));
+    const auto answer = a.handleMessage(*ask, at(1110));
+    CHECK(a.share(at(1110)) == Approx(0.5));
     REQUIRE(answer);
-    restarted.heard(*answer, at(1120));
-    CHECK(restarted.part(at(1120)) == Approx(0.5));
+    restarted.handleMessage(*answer, at(1120));
+    CHECK(restarted.share(at(1120)) == Approx(0.5));
 }
 
 TEST_CASE("a process that nobody answers owns a part once its list must have reached the others")
 {
     auto limits = limitsOf("a");
     limits.setMembers(three, start);
-    CHECK(limits.part(at(100)) == Approx(0.0));
+    CHECK(limits.share(at(100)) == Approx(0.0));
     // Those that do not count it may own a half each.
-    CHECK(limits.part(at(1000)) == Approx(0.0));
-    CHECK(limits.part(at(9000)) == Approx(1.0 / 3));
+    CHECK(limits.share(at(1000)) == Approx(0.0));
+    CHECK(limits.share(at(9000)) == Approx(1.0 / 3));
 }
 
 TEST_CASE("messages of a former life are void")
@@ -349,16 +351,16 @@
     REQUIRE(loan);
     auto restarted = limitsOf("b", lent_shares {}, 2);
     restarted.setMembers(two, at(1000));
-    const auto ask = restarted.takeShareAsk(at(1000));
+    const auto ask = restarted.nextShareRequest(at(1000));
     REQUIRE(ask);
-    a.heard(*ask, at(1010));
-    a.heard(*loan, at(1020));
-    CHECK(a.part(at(1040)) == Approx(0.5));
+    a.handleMessage(*ask, at(1010));
+    a.handleMessage(*loan, at(1020));
+    CHECK(a.share(at(1040)) == Approx(0.5));
 
     auto other = limitsOf("a", lent_shares {}, 2);
     other.setMembers(two, at(1000));
-    other.heard(*loan, at(1020));
-    CHECK(other.part(at(1040)) == Approx(0.0));
+    other.handleMessage(*loan, at(1020));
+    CHECK(other.share(at(1040)) == Approx(0.0));
 }
 
 // Guards against a newcomer that takes itself for one of a few, though most members are cut off.
@@ -370,7 +372,7 @@
     auto b = limitsOf("b", lent_shares {}, 2);
     b.setMembers(six, start);
     // Those that it does not hear may not count it.
-    CHECK(b.part(at(9000)) == Approx(0.2 / 6));
+    CHECK(b.share(at(9000)) == Approx(0.2 / 6));
 }
 
 TEST_CASE("a member whose record was removed owns nothing")
@@ -378,16 +380,16 @@
     pair_of_limits fleet;
     auto& a = fleet.a;
     a.setMembers(std::vector<limit_member> { { "a", "zone-a" } }, at(4000));
-    CHECK(a.part(at(4500)) == Approx(0.5));
-    CHECK(a.part(at(4700)) == Approx(1.0));
+    CHECK(a.share(at(4500)) == Approx(0.5));
+    CHECK(a.share(at(4700)) == Approx(1.0));
 }
 
 TEST_CASE("even shares split the limit over the zones and say nothing")
 {
     auto limits = limitsOf("a", even_shares {});
     limits.setMembers(two, start);
-    CHECK(limits.part(start) == Approx(0.5));
+    CHECK(limits.share(start) == Approx(0.5));
     grantsAt(limits, start, 100);
-    CHECK(!limits.takeShareAsk(at(1000)));
-    CHECK(!limits.takeTokenRequest(at(1000)));
+    CHECK(!limits.nextShareRequest(at(1000)));
+    CHECK(!limits.nextTokenRequest(at(1000)));
 }
--- a/libs/load_player/src/load_player.cpp
+++ b/libs/load_player/src/load_player.cpp
@@ -91,10 +91,10 @@
         group_options options;
         options.policy = spare_bulk {};
         options.bulkOrder = fair_queue::order::due;
-        options.refusalPause = milliseconds { 150 };
+        options.refusalBackoff = milliseconds { 150 };
         options.waitMargin = m_plan.policy.waitMargin;
         options.keptForLive = m_plan.policy.keptForLive;
-        options.asksForReports = m_plan.policy.reports;
+        options.pollsLoadReports = m_plan.policy.reports;
         return options;
     }
 
@@ -204,7 +204,7 @@
     {
         const auto& who = m_callers.at(id);
         m_asked.insert(id);
-        grant_ask wanted;
+        slot_request wanted;
         wanted.id = id;
         wanted.requestId = std::to_string(id);
         wanted.customer = "live";
@@ -216,7 +216,7 @@
     void askForItem(std::uint64_t id)
     {
         const auto& one = m_items.at(id);
-        grant_ask wanted;
+        slot_request wanted;
         wanted.id = id;
         wanted.requestId = std::to_string(id);
         wanted.customer = "items";
@@ -299,7 +299,7 @@
             one = m_reports.erase(one);
         }
         for (auto one = m_missing.begin(); one != m_missing.end() && one->first <= m_now;) {
-            m_group.reportMissing(one->second, m_now);
+            m_group.recordMissedReport(one->second, m_now);
             one = m_missing.erase(one);
         }
     }
@@ -321,28 +321,29 @@
         }
     }
 
-    void carryOut(const grant_given& given)
+    void carryOut(const slot_grant& given)
     {
         auto& target = targetNamed(given.target);
         const auto number = static_cast<std::size_t>(&target - m_targets.data());
-        m_granted.push_back({ given.askId, number, given.grantId });
-        m_asked.erase(given.askId);
-        if (const auto live = m_callers.find(given.askId); live != m_callers.end()) {
+        m_granted.push_back({ given.slotRequestId, number, given.grantId });
+        m_asked.erase(given.slotRequestId);
+        if (const auto live = m_callers.find(given.slotRequestId); live != m_callers.end()) {
             live->second.placed = m_now;
-            return target.take(given.askId, m_plan.live.run, readingTime);
+            return target.take(given.slotRequestId, m_plan.live.run, readingTime);
         }
-        const auto& one = m_items.at(given.askId);
-        target.take(given.askId, one.left, readingTime + (m_plan.items.run - one.left) / generatedReadFaster);
+        const auto& one = m_items.at(given.slotRequestId);
+        target.take(
+            given.slotRequestId, one.left, readingTime + (m_plan.items.run - one.left) / generatedReadFaster);
     }
 
-    void carryOut(const grant_refused& refused)
+    void carryOut(const slot_refusal& refused)
     {
-        const auto live = m_callers.find(refused.askId);
+        const auto live = m_callers.find(refused.slotRequestId);
         if (live == m_callers.end())
-            return askForItem(refused.askId);
+            return askForItem(refused.slotRequestId);
         auto who = live->second;
         m_callers.erase(live);
-        m_asked.erase(refused.askId);
+        m_asked.erase(refused.slotRequestId);
         const bool early = m_now - who.attempt <= m_plan.live.objective / 4;
         (early ? m_outcome.toldEarly : m_outcome.toldLate) += 1;
         if (who.returned) {
@@ -356,7 +357,7 @@
         m_returns.emplace(m_now + std::min<steady_time::duration>(told, left / followedPart), who);
     }
 
-    void carryOut(const grant_revoked& revoked)
+    void carryOut(const grant_revocation& revoked)
     {
         const auto found = std::find_if(m_granted.begin(), m_granted.end(),
             [&](const granted& one) { return one.grant == revoked.grantId; });
--- a/libs/membership/include/membership/membership.h
+++ b/libs/membership/include/membership/membership.h
@@ -36,27 +36,28 @@
     bool leaving = false;
     std::int64_t settingsVersion = 0; ///< Version of the settings that its entry has in force.
     /// Lowest version in force in the VM's other processes; 0 while there are none.
-    std::int64_t othersVersion = 0;
+    std::int64_t otherProcessesVersion = 0;
 
     /// Version in force in every process of the VM.
     std::int64_t versionInForce() const
     {
-        return othersVersion == 0 || othersVersion > settingsVersion ? settingsVersion : othersVersion;
+        return otherProcessesVersion == 0 || otherProcessesVersion > settingsVersion ? settingsVersion
+                                                                                     : otherProcessesVersion;
     }
 };
 
 /// What changes of a member from one heartbeat to the next, in a few bytes. Whoever does not know the rest,
 /// or knows another one by the fingerprint, asks for the whole.
-struct member_note {
+struct member_heartbeat {
     std::uint32_t id = 0; ///< Hash of the VM's name.
     std::uint32_t fingerprint = 0; ///< 16 bits over incarnation and addresses.
     std::uint64_t heartbeat = 0;
     std::int64_t settingsVersion = 0;
-    std::int64_t othersVersion = 0;
+    std::int64_t otherProcessesVersion = 0;
     bool leaving = false;
 };
 
-member_note noteOf(const member_info& member);
+member_heartbeat heartbeatOf(const member_info& member);
 
 /// A member with what this process thinks of it.
 struct member_view {
@@ -85,7 +86,7 @@
     bool merge(std::span<const member_info> news, steady_time now);
 
     /// Takes over heartbeats. Returns the ids of members whose whole information is wanted.
-    std::vector<std::uint32_t> mergeNotes(std::span<const member_note> notes, steady_time now);
+    std::vector<std::uint32_t> mergeHeartbeats(std::span<const member_heartbeat> notes, steady_time now);
 
     /// A connection to that member broke: it is suspected at once, until its next heartbeat.
     void reportUnreachable(std::string_view vm, steady_time now);
@@ -95,7 +96,7 @@
 
     // What changes counts as a heartbeat: peers take over nothing that is not newer than what they know.
     void setSettingsVersion(std::int64_t version) { change(m_self.settingsVersion, version); }
-    void setOthersVersion(std::int64_t version) { change(m_self.othersVersion, version); }
+    void setOtherProcessesVersion(std::int64_t version) { change(m_self.otherProcessesVersion, version); }
     void setBatchAddress(std::string address) { change(m_self.batchAddress, std::move(address)); }
     void setAdminAddress(std::string address) { change(m_self.adminAddress, std::move(address)); }
 
@@ -108,7 +109,7 @@
     std::vector<member_info> digest() const;
 
     /// Members of a zone that take work: alive, or suspect if that leaves none alive.
-    std::vector<member_info> workingMembers(std::string_view zone) const;
+    std::vector<member_info> eligibleMembers(std::string_view zone) const;
 
 private:
     template <typename Value> void change(Value& field, Value value)
--- a/libs/membership/src/membership.cpp
+++ b/libs/membership/src/membership.cpp
@@ -19,14 +19,14 @@
     return "dead";
 }
 
-member_note noteOf(const member_info& member)
+member_heartbeat heartbeatOf(const member_info& member)
 {
     constexpr std::uint64_t mask16 = 0xffff;
     const auto parts
         = member.zone + '|' + member.address + '|' + member.batchAddress + '|' + member.adminAddress;
     const auto print = hashText(parts, member.incarnation);
     return { static_cast<std::uint32_t>(hashText(member.vm)), static_cast<std::uint32_t>(print & mask16),
-        member.heartbeat, member.settingsVersion, member.othersVersion, member.leaving };
+        member.heartbeat, member.settingsVersion, member.otherProcessesVersion, member.leaving };
 }
 
 namespace {
@@ -96,12 +96,13 @@
     return changed;
 }
 
-std::vector<std::uint32_t> membership::mergeNotes(std::span<const member_note> notes, steady_time now)
+std::vector<std::uint32_t> membership::mergeHeartbeats(
+    std::span<const member_heartbeat> notes, steady_time now)
 {
     std::map<std::uint32_t, member_view*> known;
     for (auto& [vm, member] : m_others)
-        known[noteOf(member.info).id] = &member;
-    const auto own = noteOf(m_self);
+        known[heartbeatOf(member.info).id] = &member;
+    const auto own = heartbeatOf(m_self);
     std::vector<std::uint32_t> wanted;
     for (const auto& note : notes) {
         if (note.id == own.id) {
@@ -110,14 +111,14 @@
             continue;
         }
         const auto found = known.find(note.id);
-        if (found == known.end() || noteOf(found->second->info).fingerprint != note.fingerprint) {
+        if (found == known.end() || heartbeatOf(found->second->info).fingerprint != note.fingerprint) {
             wanted.push_back(note.id);
             continue;
         }
         auto news = found->second->info;
         news.heartbeat = note.heartbeat;
         news.settingsVersion = note.settingsVersion;
-        news.othersVersion = note.othersVersion;
+        news.otherProcessesVersion = note.otherProcessesVersion;
         news.leaving = note.leaving;
         merge(std::span(&news, 1), now);
     }
@@ -156,7 +157,7 @@
     return members;
 }
 
-std::vector<member_info> membership::workingMembers(std::string_view zone) const
+std::vector<member_info> membership::eligibleMembers(std::string_view zone) const
 {
     std::vector<member_info> alive;
     std::vector<member_info> suspects;
--- a/libs/membership/tests/test_membership.cpp
+++ b/libs/membership/tests/test_membership.cpp
@@ -38,7 +38,7 @@
     CHECK(stateOf(self, "b") == member_state::alive);
     self.tick(start + 4s);
     CHECK(stateOf(self, "b") == member_state::suspect);
-    CHECK(self.workingMembers("rennes-a").size() == 1);
+    CHECK(self.eligibleMembers("rennes-a").size() == 1);
     self.tick(start + 9s);
     CHECK(stateOf(self, "b") == member_state::dead);
     other.heartbeat = 5;
@@ -80,10 +80,10 @@
     self.merge(std::span(&leaving, 1), start);
     self.reportUnreachable("c", start);
     self.tick(start + 1s);
-    REQUIRE(self.workingMembers("rennes-a").size() == 1);
-    CHECK(self.workingMembers("rennes-a")[0].vm == "a");
+    REQUIRE(self.eligibleMembers("rennes-a").size() == 1);
+    CHECK(self.eligibleMembers("rennes-a")[0].vm == "a");
     self.leave();
-    CHECK(self.workingMembers("rennes-a")[0].vm == "c");
+    CHECK(self.eligibleMembers("rennes-a")[0].vm == "c");
 }
 
 TEST_CASE("when one of n members goes, only its own keys move")
@@ -111,20 +111,20 @@
 {
     membership self(make("a"), {}, start);
     auto other = make("b");
-    const auto first = noteOf(other);
-    CHECK(self.mergeNotes(std::span(&first, 1), start) == std::vector<std::uint32_t> { first.id });
+    const auto first = heartbeatOf(other);
+    CHECK(self.mergeHeartbeats(std::span(&first, 1), start) == std::vector<std::uint32_t> { first.id });
     self.merge(std::span(&other, 1), start);
     other.heartbeat = 7;
     other.settingsVersion = 9;
-    const auto beat = noteOf(other);
-    CHECK(self.mergeNotes(std::span(&beat, 1), start + 2s).empty());
+    const auto beat = heartbeatOf(other);
+    CHECK(self.mergeHeartbeats(std::span(&beat, 1), start + 2s).empty());
     CHECK(self.view()[1].info.settingsVersion == 9);
     CHECK(self.view()[1].lastNews == start + 2s);
     other.batchAddress = "127.0.0.1:5";
-    const auto moved = noteOf(other);
-    CHECK(self.mergeNotes(std::span(&moved, 1), start + 3s).size() == 1);
-    const auto own = noteOf(self.self());
-    CHECK(self.mergeNotes(std::span(&own, 1), start).empty());
+    const auto moved = heartbeatOf(other);
+    CHECK(self.mergeHeartbeats(std::span(&moved, 1), start + 3s).size() == 1);
+    const auto own = heartbeatOf(self.self());
+    CHECK(self.mergeHeartbeats(std::span(&own, 1), start).empty());
 }
 
 // Story: an edit is accepted and pushed to every entry at once, but most put it in force only a second later:
@@ -135,9 +135,9 @@
     membership receiver(make("b"), {}, start);
     receiver.merge(pusher.digest(), start);
     pusher.setSettingsVersion(7);
-    const auto note = noteOf(pusher.self());
-    receiver.mergeNotes(std::span(&note, 1), start);
+    const auto note = heartbeatOf(pusher.self());
+    receiver.mergeHeartbeats(std::span(&note, 1), start);
     CHECK(receiver.view()[1].info.settingsVersion == 7);
     pusher.setSettingsVersion(7);
-    CHECK(noteOf(pusher.self()).heartbeat == note.heartbeat);
+    CHECK(heartbeatOf(pusher.self()).heartbeat == note.heartbeat);
 }
--- a/libs/messages/include/messages/messages.h
+++ b/libs/messages/include/messages/messages.h
@@ -24,12 +24,12 @@
 
 struct ask_message {
     std::string group;
-    grant_ask ask;
+    slot_request ask;
 };
 
 /// The group's dispatcher is another process.
 struct moved_message {
-    std::uint64_t askId = 0;
+    std::uint64_t slotRequestId = 0;
     std::string ownerAddress;
 };
 
@@ -45,14 +45,14 @@
 
 struct withdraw_message {
     std::string group;
-    std::uint64_t askId = 0;
+    std::uint64_t slotRequestId = 0;
 };
 
 /// Everything that is ready for one peer. Times travel as durations from now, because clocks differ.
 struct envelope {
     std::vector<ask_message> asks;
-    std::vector<grant_given> grants;
-    std::vector<grant_refused> refusals;
+    std::vector<slot_grant> grants;
+    std::vector<slot_refusal> refusals;
     std::vector<moved_message> moved;
     std::vector<revoke_message> revokes;
     std::vector<release_message> releases;
@@ -160,7 +160,7 @@
 /// What a process asks another one for.
 struct sync_question {
     std::vector<section_revision> known; ///< Sections that it wants newer copies of.
-    std::vector<suspect_note> suspects; ///< News for the asked process.
+    std::vector<suspect_report> suspects; ///< News for the asked process.
     std::uint64_t suspectsDigest = 0; ///< Of all suspects that the asker knows.
     bool takesPacked = true; ///< The asker understands compressed sections.
 };
@@ -170,14 +170,14 @@
     std::vector<section_update> newer;
     store_contact contact;
     std::vector<section_standing> standings; ///< Of the sections asked for that it has copies of.
-    std::vector<suspect_note> suspects; ///< All that it knows, if that is not what the asker does.
+    std::vector<suspect_report> suspects; ///< All that it knows, if that is not what the asker does.
     std::uint64_t suspectsDigest = 0;
 };
 
 /// Heartbeats between entries. Whole members travel only when asked for.
 struct gossip_message {
     std::string zone; ///< Of the sender.
-    std::vector<member_note> notes;
+    std::vector<member_heartbeat> notes;
     std::vector<member_info> members;
     std::vector<std::uint32_t> wanted; ///< Ids of members that the sender wants to know.
 };
