--- a/libs/mirror/include/mirror/mirror.h
+++ b/libs/mirror/include/mirror/mirror.h
@@ -139,7 +139,7 @@
     /// When this copy was last known to be what the store held, by the steady clock; the clock's beginning if
     /// never. A call that waits proves nothing: a connection that has died is as silent as a store without
     /// news.
-    steady_time confirmed() const { return m_confirmedAt; }
+    steady_time lastConfirmed() const { return m_confirmedAt; }
     /// A peer's copy was known to be right at a moment. If this copy is as new, so was this one.
     void noteConfirmed(std::int64_t revision, steady_time when);
     void noteUnchanged(std::int64_t from, std::int64_t until) { m_history.noteUnchanged(from, until); }
--- a/libs/mirror/tests/test_mirror.cpp
+++ b/libs/mirror/tests/test_mirror.cpp
@@ -303,7 +303,7 @@
     CHECK(f.store.waitedFor <= milliseconds { 10 });
     std::exchange(f.store.pendingWait, nullptr)(store_changes { { { true, value("op/a", "", 7) } }, 8 });
     CHECK(f.content() == "");
-    CHECK(f.mirror.confirmed() >= now);
+    CHECK(f.mirror.lastConfirmed() >= now);
     f.loop.runFor(milliseconds { 200 });
     REQUIRE(f.store.pendingWait);
     CHECK(f.store.waitedFrom == 8);
@@ -331,7 +331,7 @@
     fixture f;
     f.store.pendingList(store_listing { { value("op/a", "1", 3) }, 5, false });
     const auto start = std::chrono::steady_clock::now();
-    const auto before = f.mirror.confirmed();
+    const auto before = f.mirror.lastConfirmed();
     int asked = 0;
     for (milliseconds at { 0 }; at < milliseconds { 6000 }; at += milliseconds { 100 }) {
         f.store.pendingWait = nullptr;
@@ -340,31 +340,31 @@
     }
     CHECK(asked >= 5); // One that comes back into touch is not left waiting for seconds.
     CHECK(asked <= 8);
-    CHECK(f.mirror.confirmed() == before);
+    CHECK(f.mirror.lastConfirmed() == before);
 }
 
 TEST_CASE("a copy is as old as the last proof that it is right")
 {
     fixture f;
-    CHECK(f.mirror.confirmed() == steady_time {});
+    CHECK(f.mirror.lastConfirmed() == steady_time {});
     const auto start = std::chrono::steady_clock::now();
     f.store.pendingList(store_listing { { value("op/a", "1", 3) }, 5, false });
-    const auto read = f.mirror.confirmed();
+    const auto read = f.mirror.lastConfirmed();
     CHECK(read <= start); // When the reading was sent; its answer may have been long under way.
     // A waiting call that tells of a change proves nothing of later moments than its sending.
     f.loop.runFor(milliseconds { 20 });
     const auto sent = std::chrono::steady_clock::now();
     f.store.pendingWait(store_changes { { { false, value("op/a", "2", 7) } }, 7 });
-    CHECK(f.mirror.confirmed() <= sent);
+    CHECK(f.mirror.lastConfirmed() <= sent);
     // A peer whose copy is newer says nothing of this one until its update has been taken over.
     const auto later = sent + milliseconds { 1000 };
     f.mirror.noteConfirmed(9, later);
-    CHECK(f.mirror.confirmed() < later);
+    CHECK(f.mirror.lastConfirmed() < later);
     CHECK(f.mirror.offer({ "op/", 9, { { "op/a", "3", 9 } } }));
     f.mirror.noteConfirmed(9, later);
-    CHECK(f.mirror.confirmed() == later);
+    CHECK(f.mirror.lastConfirmed() == later);
     f.mirror.noteConfirmed(9, sent); // Older news change nothing.
-    CHECK(f.mirror.confirmed() == later);
+    CHECK(f.mirror.lastConfirmed() == later);
     CHECK(f.mirror.standing(later + milliseconds { 70 }).age == milliseconds { 70 });
 }
 
--- a/libs/node/include/node/node.h
+++ b/libs/node/include/node/node.h
@@ -222,7 +222,7 @@
 
     /// Waits for a grant until the ask's deadline. A failure of kind unavailable with an empty retryAfter
     /// means that no dispatcher answered; any other failure is the dispatcher's own answer.
-    result<held_grant> acquire(const std::string& group, const std::string& zone, grant_ask ask);
+    result<held_grant> acquire(const std::string& group, const std::string& zone, slot_request ask);
     void release(const held_grant& grant, grant_release figures);
 
 private:
@@ -232,7 +232,7 @@
     std::shared_ptr<connection> connect(const std::string& address);
     void received(connection& from, envelope message);
     result<held_grant> askOne(
-        const std::string& address, const std::string& group, const grant_ask& ask, std::string& movedTo);
+        const std::string& address, const std::string& group, const slot_request& ask, std::string& movedTo);
 
     rpc_client& m_client;
     owner_lookup m_owners;
--- a/libs/node/src/grant_client.cpp
+++ b/libs/node/src/grant_client.cpp
@@ -41,7 +41,7 @@
     std::condition_variable changed;
     bool acknowledged = false;
     bool lost = false;
-    std::optional<grant_given> given;
+    std::optional<slot_grant> given;
     std::optional<failure> refused;
     std::string movedTo;
 
@@ -130,11 +130,11 @@
 
 void grant_client::received(connection& from, envelope message)
 {
-    const auto settle = [&](std::uint64_t askId, bool final, const auto& change) {
+    const auto settle = [&](std::uint64_t slotRequestId, bool final, const auto& change) {
         std::shared_ptr<waiter> waiting;
         {
             const std::scoped_lock lock(from.mutex);
-            const auto found = from.waiters.find(askId);
+            const auto found = from.waiters.find(slotRequestId);
             if (found == from.waiters.end())
                 return false;
             waiting = found->second;
@@ -151,29 +151,30 @@
         std::string group;
         {
             const std::scoped_lock lock(from.mutex);
-            if (const auto found = from.groups.find(grant.askId); found != from.groups.end())
+            if (const auto found = from.groups.find(grant.slotRequestId); found != from.groups.end())
                 group = found->second;
             // A revocation may follow in the same envelope, before the waiting thread wakes.
             from.revocable[{ group, grant.grantId }] = std::make_shared<revocation>();
         }
-        const bool wanted = settle(grant.askId, true, [&](waiter& waiting) { waiting.given = grant; });
+        const bool wanted
+            = settle(grant.slotRequestId, true, [&](waiter& waiting) { waiting.given = grant; });
         if (wanted)
             continue;
         // Nobody waits any more: the place goes back at once.
         const std::scoped_lock lock(from.mutex);
         from.revocable.erase({ group, grant.grantId });
-        from.groups.erase(grant.askId);
+        from.groups.erase(grant.slotRequestId);
         returned.releases.push_back(
             { group, { grant.grantId, grant_outcome::abandoned, milliseconds { 0 }, 0 } });
     }
     for (auto& refusal : message.refusals)
-        settle(refusal.askId, true, [&](waiter& waiting) { waiting.refused = refusal.reason; });
+        settle(refusal.slotRequestId, true, [&](waiter& waiting) { waiting.refused = refusal.reason; });
     for (auto& moved : message.moved) {
         // An empty address acknowledges an ask that has to wait.
         if (moved.ownerAddress.empty())
-            settle(moved.askId, false, [](waiter& waiting) { waiting.acknowledged = true; });
+            settle(moved.slotRequestId, false, [](waiter& waiting) { waiting.acknowledged = true; });
         else
-            settle(moved.askId, true, [&](waiter& waiting) { waiting.movedTo = moved.ownerAddress; });
+            settle(moved.slotRequestId, true, [&](waiter& waiting) { waiting.movedTo = moved.ownerAddress; });
     }
     for (const auto& revoke : message.revokes) {
         std::shared_ptr<revocation> wanted;
@@ -191,7 +192,7 @@
 }
 
 result<held_grant> grant_client::askOne(
-    const std::string& address, const std::string& group, const grant_ask& ask, std::string& movedTo)
+    const std::string& address, const std::string& group, const slot_request& ask, std::string& movedTo)
 {
     const auto through = connect(address);
     auto waiting = std::make_shared<waiter>();
@@ -247,7 +248,7 @@
     return noAnswer(address);
 }
 
-result<held_grant> grant_client::acquire(const std::string& group, const std::string& zone, grant_ask ask)
+result<held_grant> grant_client::acquire(const std::string& group, const std::string& zone, slot_request ask)
 {
     auto owners = m_owners(group, zone);
     if (owners.empty())
--- a/libs/node/tests/test_node.cpp
+++ b/libs/node/tests/test_node.cpp
@@ -138,7 +138,7 @@
         for (auto& release : message.releases)
             releases.push_back(release);
         for (auto& withdrawal : message.withdrawals)
-            withdrawn.push_back(withdrawal.askId);
+            withdrawn.push_back(withdrawal.slotRequestId);
     }
     void sessionClosed(std::uint64_t) override { }
     gossip_message gossip(const gossip_message&) override { return {}; }
@@ -164,9 +164,9 @@
 
     fixture() { grants.setLocal("local", dispatcher); }
 
-    grant_ask ask(milliseconds wait = 5s) const
+    slot_request ask(milliseconds wait = 5s) const
     {
-        grant_ask ask;
+        slot_request ask;
         ask.deadline = std::chrono::steady_clock::now() + wait;
         return ask;
     }
--- a/libs/places/include/places/places.h
+++ b/libs/places/include/places/places.h
@@ -28,7 +28,7 @@
 };
 
 /// What is wanted.
-struct place_request {
+struct slot_requirements {
     std::string requestId; ///< For logs.
     std::string service;
     std::string customer;
@@ -38,13 +38,13 @@
     double cost = 1; ///< Tokens expected.
     std::vector<std::uint64_t> prefixes; ///< Hashes of the prompt's leading parts.
     std::string avoid; ///< Target that has just failed this request.
-    steady_time latest; ///< Latest useful time of a grant.
+    steady_time grantDeadline; ///< Latest useful time of a grant.
     milliseconds hold { 0 }; ///< Longest use of the place.
     steady_time due; ///< Bulk only.
 };
 
 /// A place at a target, to be given back exactly once.
-struct place {
+struct held_slot {
     std::string group;
     std::string dispatcher; ///< Address; empty if it is this process.
     std::uint64_t grantId = 0;
@@ -55,17 +55,17 @@
 };
 
 /// A request for a place that is under way. Dropping it withdraws it.
-class place_ask {
+class slot_acquisition {
 public:
-    virtual ~place_ask() = default;
+    virtual ~slot_acquisition() = default;
 };
 
 /// Asks targets for their load.
-class load_source {
+class load_report_source {
 public:
     using callback = std::function<void(result<load_report>)>;
 
-    virtual ~load_source() = default;
+    virtual ~load_report_source() = default;
     /// Exactly one answer comes, later; a failure after a fraction of a second if the target is silent.
     virtual void ask(const std::string& address, callback done) = 0;
 };
@@ -93,8 +93,8 @@
     /// may be null.
     ///
     /// Live work is granted within its customers' limits; null for none.
-    group_host(event_loop& loop, sender send, ownership first, load_source* loads,
-        const group_options& options, fleet_limits* limits = nullptr);
+    group_host(event_loop& loop, sender send, ownership first, load_report_source* loads,
+        const group_options& options, distributed_rate_limiter* limits = nullptr);
     ~group_host();
 
     /// All targets of the fleet, and what has changed among them; a group has those of one service in one
@@ -129,7 +129,7 @@
     void receivedAsk(std::uint64_t session, ask_message one, envelope& acknowledgement, steady_time now);
     void received(const release_message& message, steady_time now);
 
-    load_source* m_loads;
+    load_report_source* m_loads;
     std::unique_ptr<limit_gate> m_gate;
     group_options m_options;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< Answers may come after the end.
@@ -143,27 +143,28 @@
 };
 
 /// Figures of a broker, for metrics.
-struct place_figures {
+struct slot_broker_stats {
     std::uint64_t asks = 0;
     std::uint64_t grants = 0;
-    std::uint64_t grantsElsewhere = 0; ///< In another zone than this process's.
+    std::uint64_t grantsInOtherZones = 0; ///< In another zone than this process's.
     std::uint64_t refusals = 0;
-    std::uint64_t silentDispatchers = 0;
+    std::uint64_t unresponsiveDispatchers = 0;
 };
 
 /// Asks for places. On the loop's thread, but for the calls of peer_handler, which come from the transport.
-class place_broker final {
+class slot_broker final {
 public:
-    using granted = std::function<void(result<place>)>;
+    using granted = std::function<void(result<held_slot>)>;
     using revoked = std::function<void()>;
 
     /// The process's own address is empty if it is no entry: then it hosts no group, and needs neither load
     /// reports nor limits.
-    place_broker(event_loop& loop, rpc_client& client, dispatcher_info self, load_source* loads = nullptr,
-        const group_options& options = defaultGroupOptions(), fleet_limits* limits = nullptr);
-    ~place_broker();
-    place_broker(const place_broker&) = delete;
-    place_broker& operator=(const place_broker&) = delete;
+    slot_broker(event_loop& loop, rpc_client& client, dispatcher_info self,
+        load_report_source* loads = nullptr, const group_options& options = defaultGroupOptions(),
+        distributed_rate_limiter* limits = nullptr);
+    ~slot_broker();
+    slot_broker(const slot_broker&) = delete;
+    slot_broker& operator=(const slot_broker&) = delete;
 
     void setDispatchers(std::vector<dispatcher_info> dispatchers);
     /// With whom customers' limits are shared.
@@ -174,17 +175,17 @@
     void limitsChanged();
 
     /// Asks for a place; exactly one answer comes, later. A refusal's retryAfter says when to come back.
-    std::shared_ptr<place_ask> acquire(place_request request, granted done);
+    std::shared_ptr<slot_acquisition> acquire(slot_requirements request, granted done);
     /// Calls the function when the dispatcher wants the place back. It stays taken until it is released.
-    void onRevoked(const place& taken, revoked notify);
-    void release(const place& taken, grant_outcome outcome, milliseconds firstToken);
+    void onRevoked(const held_slot& taken, revoked notify);
+    void release(const held_slot& taken, grant_outcome outcome, milliseconds firstToken);
 
     // Streams that peers have opened to this process; from any thread.
     void sessionOpened(std::uint64_t session, std::function<void(envelope)> send);
     void sessionReceived(std::uint64_t session, envelope message);
     void sessionClosed(std::uint64_t session);
 
-    const place_figures& figures() const;
+    const slot_broker_stats& figures() const;
     std::map<std::string, group_summary> summaries(steady_time now) const;
 
 private:
--- a/libs/places/src/group_host.cpp
+++ b/libs/places/src/group_host.cpp
@@ -10,7 +10,7 @@
 constexpr milliseconds tickInterval { 10 };
 /// A target that is full although it should have room works on something that this dispatcher does not know
 /// of, such as requests granted by its predecessor; these end within about so long.
-constexpr milliseconds refusalPause { 150 };
+constexpr milliseconds refusalBackoff { 150 };
 constexpr milliseconds notDispatcherRetry { 200 };
 
 } // namespace
@@ -18,14 +18,14 @@
 group_options defaultGroupOptions()
 {
     group_options options;
-    options.refusalPause = refusalPause;
+    options.refusalBackoff = refusalBackoff;
     options.policy = spare_bulk {};
     options.bulkOrder = fair_queue::order::due;
     return options;
 }
 
-group_host::group_host(event_loop& loop, sender send, ownership first, load_source* loads,
-    const group_options& options, fleet_limits* limits)
+group_host::group_host(event_loop& loop, sender send, ownership first, load_report_source* loads,
+    const group_options& options, distributed_rate_limiter* limits)
     : m_loads(loads)
     , m_gate(std::make_unique<limit_gate>(limits))
     , m_options(options)
@@ -96,7 +96,7 @@
     if (found != m_groups.end())
         return found->second;
     auto options = m_options;
-    options.asksForReports = options.asksForReports && m_loads;
+    options.pollsLoadReports = options.pollsLoadReports && m_loads;
     auto& hosted = m_groups.emplace(name, options).first->second;
     hosted.group.setTargets(targetsOf(name), now);
     return hosted;
@@ -110,8 +110,8 @@
         touched.insert(release.group);
     }
     for (const auto& withdrawal : message.withdrawals) {
-        find(withdrawal.group, now).group.withdraw(session, withdrawal.askId, now);
-        m_gate->dropped(session, withdrawal.askId, now);
+        find(withdrawal.group, now).group.withdraw(session, withdrawal.slotRequestId, now);
+        m_gate->dropped(session, withdrawal.slotRequestId, now);
         touched.insert(withdrawal.group);
     }
     envelope acknowledgement;
@@ -145,7 +145,7 @@
 void group_host::received(const release_message& message, steady_time now)
 {
     auto& group = find(message.group, now).group;
-    m_gate->released(group.askOf(message.release.grantId), message.release.outcome, now);
+    m_gate->released(group.requestOfGrant(message.release.grantId), message.release.outcome, now);
     group.release(message.release, now);
 }
 
@@ -162,14 +162,14 @@
 {
     std::map<std::uint64_t, envelope> bySession;
     for (auto& one : hosted.group.takeDecisions()) {
-        if (auto* given = std::get_if<grant_given>(&one)) {
-            m_gate->granted(given->holder, given->askId);
+        if (auto* given = std::get_if<slot_grant>(&one)) {
+            m_gate->granted(given->holder, given->slotRequestId);
             bySession[given->holder].grants.push_back(std::move(*given));
-        } else if (auto* refused = std::get_if<grant_refused>(&one)) {
-            m_gate->dropped(refused->holder, refused->askId, std::chrono::steady_clock::now());
+        } else if (auto* refused = std::get_if<slot_refusal>(&one)) {
+            m_gate->dropped(refused->holder, refused->slotRequestId, std::chrono::steady_clock::now());
             bySession[refused->holder].refusals.push_back(std::move(*refused));
         }
-        if (const auto* revoked = std::get_if<grant_revoked>(&one))
+        if (const auto* revoked = std::get_if<grant_revocation>(&one))
             bySession[revoked->holder].revokes.push_back({ name, revoked->grantId });
     }
     for (auto& [session, message] : bySession)
@@ -217,7 +217,7 @@
     if (report)
         hosted.group.report(target, report.value(), now);
     else
-        hosted.group.reportMissing(target, now);
+        hosted.group.recordMissedReport(target, now);
     deliver(name, hosted);
 }
 
--- a/libs/places/src/limit_exchange.cpp
+++ b/libs/places/src/limit_exchange.cpp
@@ -10,7 +10,7 @@
 } // namespace
 
 limit_exchange::limit_exchange(
-    event_loop& loop, fleet_limits& limits, std::string ownAddress, environment around)
+    event_loop& loop, distributed_rate_limiter& limits, std::string ownAddress, environment around)
     : m_limits(limits)
     , m_ownAddress(std::move(ownAddress))
     , m_around(std::move(around))
@@ -20,7 +20,7 @@
 
 void limit_exchange::customersChanged()
 {
-    if (!m_limits.limitsAny())
+    if (!m_limits.hasLimits())
         return m_timer.cancel();
     if (!m_timer.armed())
         m_timer.arm(tickInterval, [this] { tick(); });
@@ -34,15 +34,15 @@
 void limit_exchange::tick()
 {
     const auto now = std::chrono::steady_clock::now();
-    m_limits.setDispatches(m_around.dispatches(now), now);
-    const auto ask = m_limits.takeShareAsk(now);
-    const auto request = m_limits.takeTokenRequest(now);
+    m_limits.setIsDispatcher(m_around.dispatches(now), now);
+    const auto ask = m_limits.nextShareRequest(now);
+    const auto request = m_limits.nextTokenRequest(now);
     for (const auto& member : m_members) {
         if (member.address == m_ownAddress || (!member.registered && m_around.silent(member.address, now)))
             continue;
         if (ask)
             sendTo(member, *ask);
-        if (request && m_limits.grants(member.vm, now))
+        if (request && m_limits.isGranting(member.vm, now))
             sendTo(member, *request);
     }
     m_timer.arm(tickInterval, [this] { tick(); });
--- a/libs/places/src/limit_exchange.h
+++ b/libs/places/src/limit_exchange.h
@@ -21,7 +21,8 @@
         std::function<bool(const std::string& address, steady_time)> silent;
     };
 
-    limit_exchange(event_loop& loop, fleet_limits& limits, std::string ownAddress, environment around);
+    limit_exchange(
+        event_loop& loop, distributed_rate_limiter& limits, std::string ownAddress, environment around);
 
     /// Starts asking if any customer has a limit, and stops if none has.
     void customersChanged();
@@ -31,7 +32,7 @@
     void tick();
     void sendTo(const limit_member& member, const limit_message& content);
 
-    fleet_limits& m_limits;
+    distributed_rate_limiter& m_limits;
     std::string m_ownAddress;
     environment m_around;
     std::vector<limit_member> m_members;
--- a/libs/places/src/place_broker.cpp
+++ b/libs/places/src/place_broker.cpp
@@ -86,7 +86,7 @@
 
 } // namespace
 
-struct place_broker::impl : std::enable_shared_from_this<place_broker::impl> {
+struct slot_broker::impl : std::enable_shared_from_this<slot_broker::impl> {
     struct link {
         std::shared_ptr<dispatcher_link> stream;
         std::uint64_t generation = 0;
@@ -94,8 +94,8 @@
     class ask_run;
     using ask_ptr = std::shared_ptr<ask_run>;
 
-    impl(event_loop& eventLoop, rpc_client& rpc, dispatcher_info own, load_source* loads,
-        const group_options& options, fleet_limits* customerLimits)
+    impl(event_loop& eventLoop, rpc_client& rpc, dispatcher_info own, load_report_source* loads,
+        const group_options& options, distributed_rate_limiter* customerLimits)
         : loop(eventLoop)
         , client(rpc)
         , self(std::move(own))
@@ -207,14 +207,14 @@
     void linkClosed(const std::string& address, std::uint64_t generation);
     /// `answer` sends to whom the messages came from.
     void hear(const std::vector<limit_message>& messages, const std::function<void(envelope)>& answer);
-    void returnStray(const std::string& dispatcher, const grant_given& given);
+    void returnStray(const std::string& dispatcher, const slot_grant& given);
     void released(const std::string& dispatcher, release_message message);
 
     event_loop& loop;
     rpc_client& client;
     dispatcher_info self;
     group_host host;
-    fleet_limits* limits; ///< May be null.
+    distributed_rate_limiter* limits; ///< May be null.
     std::unique_ptr<limit_exchange> exchange; ///< Null without limits.
     std::vector<dispatcher_info> dispatchers;
     std::map<std::string, std::vector<std::string>> rankedByGroup;
@@ -229,16 +229,16 @@
     std::map<std::uint64_t, std::function<void(envelope)>> sessions;
     /// Callbacks of places that may be revoked, by dispatcher, group and grant.
     std::map<std::tuple<std::string, std::string, std::uint64_t>, revoked> revocations;
-    place_figures figures;
+    slot_broker_stats figures;
     std::uint64_t nextAsk = 1;
     std::uint64_t nextLink = 1;
     bool closed = false;
 };
 
 /// One request for a place, from zone to zone until one is found.
-class place_broker::impl::ask_run : public std::enable_shared_from_this<ask_run> {
+class slot_broker::impl::ask_run : public std::enable_shared_from_this<ask_run> {
 public:
-    ask_run(std::shared_ptr<impl> owner, place_request request, granted done)
+    ask_run(std::shared_ptr<impl> owner, slot_requirements request, granted done)
         : m_owner(std::move(owner))
         , m_request(std::move(request))
         , m_done(std::move(done))
@@ -268,7 +268,7 @@
         nextStep();
     }
 
-    void decided(const grant_given& given)
+    void decided(const slot_grant& given)
     {
         if (m_owner->leaving(given.target)) {
             m_owner->released(
@@ -277,7 +277,7 @@
             m_request.avoid = given.target;
             return nextStep();
         }
-        place found;
+        held_slot found;
         found.group = m_group;
         found.dispatcher = m_dispatcher;
         found.grantId = given.grantId;
@@ -288,11 +288,11 @@
         if (m_bulk)
             m_owner->withoutRoom.noteRoom(m_zone);
         ++m_owner->figures.grants;
-        m_owner->figures.grantsElsewhere += m_zone != m_owner->self.zone ? 1 : 0;
+        m_owner->figures.grantsInOtherZones += m_zone != m_owner->self.zone ? 1 : 0;
         finish(std::move(found));
     }
 
-    void decided(const grant_refused& refused)
+    void decided(const slot_refusal& refused)
     {
         m_askId = 0;
         if (!m_bulk)
@@ -350,9 +350,9 @@
     void nextStep()
     {
         const auto now = std::chrono::steady_clock::now();
-        if (m_steps.empty() && !m_queued && !m_queueZone.empty() && m_request.latest > now) {
+        if (m_steps.empty() && !m_queued && !m_queueZone.empty() && m_request.grantDeadline > now) {
             m_queued = true;
-            m_steps.push_back({ m_queueZone, m_request.latest });
+            m_steps.push_back({ m_queueZone, m_request.grantDeadline });
         }
         if (m_steps.empty())
             return finish(m_refusal.value_or(
@@ -382,7 +382,7 @@
         m_askId = m_owner->nextAsk++;
         m_owner->asks[m_askId] = weak_from_this();
         ++m_owner->figures.asks;
-        grant_ask wanted;
+        slot_request wanted;
         wanted.id = m_askId;
         wanted.requestId = m_request.requestId;
         wanted.customer = m_request.customer;
@@ -392,7 +392,7 @@
         wanted.cost = m_request.cost;
         wanted.prefixes = m_request.prefixes;
         wanted.avoid = m_request.avoid;
-        wanted.atOnce = !m_until;
+        wanted.immediate = !m_until;
         wanted.deadline = m_until.value_or(steady_time {});
         wanted.hold = m_request.hold;
         wanted.due = m_request.due;
@@ -410,7 +410,7 @@
     void silent()
     {
         const auto now = std::chrono::steady_clock::now();
-        ++m_owner->figures.silentDispatchers;
+        ++m_owner->figures.unresponsiveDispatchers;
         if (!m_owner->silent(m_dispatcher, now))
             logEvent(log_level::warning, "dispatcher is silent",
                 { { "dispatcher", m_dispatcher }, { "group", m_group } });
@@ -439,7 +439,7 @@
         m_askId = 0;
     }
 
-    void finish(result<place> outcome)
+    void finish(result<held_slot> outcome)
     {
         if (m_finished)
             return;
@@ -468,7 +468,7 @@
 
 private:
     std::shared_ptr<impl> m_owner;
-    place_request m_request;
+    slot_requirements m_request;
     granted m_done;
     bool m_bulk;
     loop_timer m_timer;
@@ -486,7 +486,7 @@
     bool m_finished = false;
 };
 
-void place_broker::impl::answer(std::uint64_t session, envelope message)
+void slot_broker::impl::answer(std::uint64_t session, envelope message)
 {
     if (session != localSession) {
         if (const auto found = sessions.find(session); found != sessions.end())
@@ -500,7 +500,7 @@
     });
 }
 
-void place_broker::impl::send(const std::string& address, envelope message)
+void slot_broker::impl::send(const std::string& address, envelope message)
 {
     auto& found = links[address];
     if (!found.stream || !found.stream->alive()) {
@@ -523,7 +523,7 @@
     found.stream->send(std::move(message));
 }
 
-void place_broker::impl::linkClosed(const std::string& address, std::uint64_t generation)
+void slot_broker::impl::linkClosed(const std::string& address, std::uint64_t generation)
 {
     const auto found = links.find(address);
     if (closed || found == links.end() || found->second.generation != generation)
@@ -548,7 +548,7 @@
         run->dispatcherGone(address);
 }
 
-void place_broker::impl::received(const std::string& address, envelope message)
+void slot_broker::impl::received(const std::string& address, envelope message)
 {
     if (!address.empty())
         silentUntil.erase(address);
@@ -558,17 +558,17 @@
         return found == asks.end() ? nullptr : found->second.lock();
     };
     for (const auto& given : message.grants) {
-        if (const auto run = find(given.askId))
+        if (const auto run = find(given.slotRequestId))
             run->decided(given);
         else // Nobody waits for it any more: its ask was withdrawn, or given to another dispatcher.
             returnStray(address, given);
     }
     for (const auto& refused : message.refusals) {
-        if (const auto run = find(refused.askId))
+        if (const auto run = find(refused.slotRequestId))
             run->decided(refused);
     }
     for (const auto& acknowledged : message.moved) {
-        if (const auto run = find(acknowledged.askId))
+        if (const auto run = find(acknowledged.slotRequestId))
             run->acknowledged();
     }
     for (const auto& revoke : message.revokes) {
@@ -580,13 +580,13 @@
     }
 }
 
-void place_broker::impl::hear(
+void slot_broker::impl::hear(
     const std::vector<limit_message>& messages, const std::function<void(envelope)>& answer)
 {
     if (!limits)
         return;
     for (const auto& one : messages) {
-        auto wanted = limits->heard(one, std::chrono::steady_clock::now());
+        auto wanted = limits->handleMessage(one, std::chrono::steady_clock::now());
         if (!wanted)
             continue;
         envelope message;
@@ -595,15 +595,15 @@
     }
 }
 
-void place_broker::impl::returnStray(const std::string& dispatcher, const grant_given& given)
+void slot_broker::impl::returnStray(const std::string& dispatcher, const slot_grant& given)
 {
-    const auto found = givenUp.find(given.askId);
+    const auto found = givenUp.find(given.slotRequestId);
     if (found == givenUp.end())
         return; // So old that the dispatcher will drop the grant by itself.
     released(dispatcher, { found->second, { given.grantId, grant_outcome::unused, milliseconds { 0 }, 0 } });
 }
 
-void place_broker::impl::released(const std::string& dispatcher, release_message message)
+void slot_broker::impl::released(const std::string& dispatcher, release_message message)
 {
     revocations.erase({ dispatcher, message.group, message.release.grantId });
     envelope out;
@@ -618,7 +618,7 @@
 
 namespace {
 
-template <typename Run> class ask_handle final : public place_ask {
+template <typename Run> class ask_handle final : public slot_acquisition {
 public:
     explicit ask_handle(std::shared_ptr<Run> run)
         : m_run(std::move(run))
@@ -632,49 +632,49 @@
 
 } // namespace
 
-place_broker::place_broker(event_loop& loop, rpc_client& client, dispatcher_info self, load_source* loads,
-    const group_options& options, fleet_limits* limits)
+slot_broker::slot_broker(event_loop& loop, rpc_client& client, dispatcher_info self,
+    load_report_source* loads, const group_options& options, distributed_rate_limiter* limits)
     : m_impl(std::make_shared<impl>(loop, client, std::move(self), loads, options, limits))
 {
 }
 
-place_broker::~place_broker()
+slot_broker::~slot_broker()
 {
     m_impl->closed = true;
     m_impl->links.clear();
 }
 
-void place_broker::setDispatchers(std::vector<dispatcher_info> dispatchers)
+void slot_broker::setDispatchers(std::vector<dispatcher_info> dispatchers)
 {
     m_impl->dispatchers = std::move(dispatchers);
     m_impl->rankedByGroup.clear();
 }
 
-void place_broker::setLimitMembers(std::span<const limit_member> members)
+void slot_broker::setLimitMembers(std::span<const limit_member> members)
 {
     if (m_impl->exchange)
         m_impl->exchange->setMembers(members);
 }
 
-void place_broker::limitsChanged()
+void slot_broker::limitsChanged()
 {
     if (m_impl->exchange)
         m_impl->exchange->customersChanged();
 }
 
-void place_broker::impl::countTarget(const listed_target& target)
+void slot_broker::impl::countTarget(const listed_target& target)
 {
     ++targetsByZone[target.service][target.zone];
 }
 
-void place_broker::impl::uncountTarget(const listed_target& target)
+void slot_broker::impl::uncountTarget(const listed_target& target)
 {
     auto& zones = targetsByZone[target.service];
     if (--zones[target.zone] == 0)
         zones.erase(target.zone);
 }
 
-void place_broker::setTargets(
+void slot_broker::setTargets(
     const target_directory& targets, std::span<const target_change> changes, steady_time now)
 {
     m_impl->targets = &targets;
@@ -691,24 +691,24 @@
     m_impl->host.setTargets(targets, changes, now);
 }
 
-std::shared_ptr<place_ask> place_broker::acquire(place_request request, granted done)
+std::shared_ptr<slot_acquisition> slot_broker::acquire(slot_requirements request, granted done)
 {
     const auto run = std::make_shared<impl::ask_run>(m_impl, std::move(request), std::move(done));
     run->start();
     return std::make_shared<ask_handle<impl::ask_run>>(run);
 }
 
-void place_broker::onRevoked(const place& taken, revoked notify)
+void slot_broker::onRevoked(const held_slot& taken, revoked notify)
 {
     m_impl->revocations[{ taken.dispatcher, taken.group, taken.grantId }] = std::move(notify);
 }
 
-void place_broker::release(const place& taken, grant_outcome outcome, milliseconds firstToken)
+void slot_broker::release(const held_slot& taken, grant_outcome outcome, milliseconds firstToken)
 {
     m_impl->released(taken.dispatcher, { taken.group, { taken.grantId, outcome, firstToken, 0 } });
 }
 
-void place_broker::sessionOpened(std::uint64_t session, std::function<void(envelope)> send)
+void slot_broker::sessionOpened(std::uint64_t session, std::function<void(envelope)> send)
 {
     m_impl->loop.post([weak = m_impl->weak_from_this(), session, send = std::move(send)] {
         if (const auto owner = weak.lock())
@@ -716,7 +716,7 @@
     });
 }
 
-void place_broker::sessionReceived(std::uint64_t session, envelope message)
+void slot_broker::sessionReceived(std::uint64_t session, envelope message)
 {
     m_impl->loop.post([weak = m_impl->weak_from_this(), session, message = std::move(message)]() mutable {
         const auto owner = weak.lock();
@@ -727,7 +727,7 @@
     });
 }
 
-void place_broker::sessionClosed(std::uint64_t session)
+void slot_broker::sessionClosed(std::uint64_t session)
 {
     m_impl->loop.post([weak = m_impl->weak_from_this(), session] {
         const auto owner = weak.lock();
@@ -738,12 +738,12 @@
     });
 }
 
-const place_figures& place_broker::figures() const
+const slot_broker_stats& slot_broker::figures() const
 {
     return m_impl->figures;
 }
 
-std::map<std::string, group_summary> place_broker::summaries(steady_time now) const
+std::map<std::string, group_summary> slot_broker::summaries(steady_time now) const
 {
     return m_impl->host.summaries(now);
 }
--- a/libs/places/tests/test_places.cpp
+++ b/libs/places/tests/test_places.cpp
@@ -39,7 +39,7 @@
     dispatcher_info self;
     whole_list listed;
     rpc_client client { {} };
-    place_broker broker;
+    slot_broker broker;
     std::atomic<bool> silent { false };
     rpc_server server;
 };
@@ -55,18 +55,19 @@
         }
     }
 
-    std::shared_ptr<place_ask> ask(entry& from, work_class workClass = work_class::live, int latestMs = 300)
+    std::shared_ptr<slot_acquisition> ask(
+        entry& from, work_class workClass = work_class::live, int latestMs = 300)
     {
-        place_request request;
+        slot_requirements request;
         request.service = "llm";
         request.customer = "c";
         request.workClass = workClass;
         request.hold = milliseconds { 5000 };
-        request.latest = std::chrono::steady_clock::now() + milliseconds { latestMs };
+        request.grantDeadline = std::chrono::steady_clock::now() + milliseconds { latestMs };
         const auto number = outcomes.size();
         outcomes.emplace_back();
         return from.broker.acquire(
-            request, [this, number](result<place> found) { outcomes[number].emplace(std::move(found)); });
+            request, [this, number](result<held_slot> found) { outcomes[number].emplace(std::move(found)); });
     }
     /// For the whole time. A loop without anything to do returns at once, though messages of peers and ends
     /// of links are still on their way in the transport's threads.
@@ -85,7 +86,7 @@
     std::map<std::string, listed_target, std::less<>> targets;
     entry a { loop, "vm-a", "a" };
     entry b { loop, "vm-b", "b" };
-    std::vector<std::optional<result<place>>> outcomes;
+    std::vector<std::optional<result<held_slot>>> outcomes;
 };
 
 } // namespace
@@ -93,7 +94,7 @@
 TEST_CASE("the own zone's free places come first, then other zones', then the queue")
 {
     fixture f;
-    std::vector<std::shared_ptr<place_ask>> asks;
+    std::vector<std::shared_ptr<slot_acquisition>> asks;
     for (int i = 0; i < 4; ++i) {
         asks.push_back(f.ask(f.a));
         f.run();
@@ -145,7 +146,7 @@
     f.run(120);
     // The other entry takes over as dispatcher of that zone.
     CHECK(f.target(2) == "tb");
-    CHECK(f.a.broker.figures().silentDispatchers == 1);
+    CHECK(f.a.broker.figures().unresponsiveDispatchers == 1);
 }
 
 // Story: a dispatcher takes an ask into its queue and is frozen then; its caller waited until its own
@@ -153,7 +154,7 @@
 TEST_CASE("an ask in the queue of a dispatcher that falls silent is not forgotten")
 {
     fixture f;
-    std::vector<std::shared_ptr<place_ask>> asks;
+    std::vector<std::shared_ptr<slot_acquisition>> asks;
     for (int i = 0; i < 4; ++i) {
         asks.push_back(f.ask(f.b));
         f.run();
@@ -179,7 +180,7 @@
     REQUIRE(f.target(0) == "ta");
     bool revoked = false;
     f.b.broker.onRevoked(f.outcomes[0]->value(), [&] { revoked = true; });
-    std::vector<std::shared_ptr<place_ask>> live;
+    std::vector<std::shared_ptr<slot_acquisition>> live;
     for (int i = 0; i < 7; ++i)
         live.push_back(f.ask(f.a));
     f.run();
@@ -304,7 +305,7 @@
     rpc_client client { {} };
     const dispatcher_info self { "vm-0", "a", "own", true };
     whole_list listed;
-    place_broker broker(loop, client, self);
+    slot_broker broker(loop, client, self);
     std::vector<dispatcher_info> fleet { self };
     for (std::size_t i = 1; i < entries; ++i)
         fleet.push_back(
@@ -317,12 +318,12 @@
     broker.setTargets(listed.directory(), changes, now);
     const double begin = processorMs();
     for (int i = 0; i < 1000; ++i) {
-        place_request request;
+        slot_requirements request;
         request.service = "llm";
-        request.latest = std::chrono::steady_clock::now() + milliseconds { 300 };
-        std::optional<result<place>> outcome;
+        request.grantDeadline = std::chrono::steady_clock::now() + milliseconds { 300 };
+        std::optional<result<held_slot>> outcome;
         const auto ask
-            = broker.acquire(request, [&](result<place> found) { outcome.emplace(std::move(found)); });
+            = broker.acquire(request, [&](result<held_slot> found) { outcome.emplace(std::move(found)); });
         while (!outcome)
             loop.runFor(milliseconds { 1 });
         REQUIRE(*outcome);
@@ -348,7 +349,7 @@
 TEST_CASE("a zone that has just refused an item is not asked at once for the next one")
 {
     fixture f;
-    std::vector<std::shared_ptr<place_ask>> asks;
+    std::vector<std::shared_ptr<slot_acquisition>> asks;
     for (int i = 0; i < 4; ++i) {
         asks.push_back(f.ask(f.a));
         f.run(10);
--- a/libs/quarantine/include/quarantine/quarantine.h
+++ b/libs/quarantine/include/quarantine/quarantine.h
@@ -42,22 +42,22 @@
 /// that end together, as under one rack, are one strike, however many callers sent the request at once: a
 /// popular request does not look guilty because it runs everywhere. A whole answer proves that the request
 /// does not end its targets: it acquits, and strikes of runs that were sent before count no more.
-struct record_of_strikes {
+struct strike_record {
     std::uint32_t acquittals = 0;
     std::uint32_t strikes = 0; ///< Since the last acquittal.
 
-    bool operator==(const record_of_strikes&) const = default;
+    bool operator==(const strike_record&) const = default;
     /// Of two records of a request the later one counts.
-    bool laterThan(const record_of_strikes& other) const
+    bool supersedes(const strike_record& other) const
     {
         return acquittals != other.acquittals ? acquittals > other.acquittals : strikes > other.strikes;
     }
 };
 
 /// A record as processes tell it to each other.
-struct suspect_note {
+struct suspect_report {
     request_identity identity;
-    record_of_strikes record;
+    strike_record record;
     milliseconds age { 0 }; ///< Since the record last changed.
 };
 
@@ -65,7 +65,7 @@
 /// and any number of times to the same one.
 class quarantine {
 public:
-    enum class standing : std::uint8_t {
+    enum class status : std::uint8_t {
         clear,
         suspect, ///< It may run once more at a time, and not again within the attempt that failed.
         refused ///< It is known to end its targets.
@@ -74,39 +74,39 @@
     /// Whether nothing is known against any request.
     bool empty() const { return m_suspects.empty(); }
     std::size_t size() const { return m_suspects.size(); }
-    standing of(const request_identity& identity, steady_time now) const;
+    status statusOf(const request_identity& identity, steady_time now) const;
     /// For how long a request will be refused: by then its service may bear it.
-    milliseconds refusedFor(const request_identity& identity, steady_time now) const;
+    milliseconds remainingRefusalTime(const request_identity& identity, steady_time now) const;
     /// What is known now; a run that is sent now is judged by it when its target ends.
-    record_of_strikes record(const request_identity& identity) const;
+    strike_record record(const request_identity& identity) const;
 
     /// A target ended under a run. Returns whether this is news.
-    bool targetEnded(const request_identity& identity, const record_of_strikes& whenSent, steady_time now);
+    bool targetTerminated(const request_identity& identity, const strike_record& whenSent, steady_time now);
     /// The request was answered in full. Returns whether it had been suspected.
     bool answered(const request_identity& identity, steady_time now);
     /// Takes over what another process knows. Returns whether it was news.
-    bool merge(const suspect_note& note, steady_time now);
+    bool merge(const suspect_report& report, steady_time now);
     /// Forgets what is old.
     void expire(steady_time now);
 
     /// What other processes are told: the worst records, and of these the latest, up to a bound.
-    std::vector<suspect_note> notes(steady_time now) const;
-    std::optional<suspect_note> note(const request_identity& identity, steady_time now) const;
+    std::vector<suspect_report> reports(steady_time now) const;
+    std::optional<suspect_report> report(const request_identity& identity, steady_time now) const;
 
 private:
     struct suspect {
-        record_of_strikes record;
+        strike_record record;
         steady_time changed;
     };
     using suspect_map = std::map<request_identity, suspect>;
 
-    void set(const request_identity& identity, const record_of_strikes& record, steady_time changed);
+    void set(const request_identity& identity, const strike_record& record, steady_time changed);
     void dropLeast();
 
     suspect_map m_suspects;
 };
 
 /// Equal for equal records, whatever their order and age; 0 for none.
-std::uint64_t digestOf(std::span<const suspect_note> notes);
+std::uint64_t digestOf(std::span<const suspect_report> reports);
 
 } // namespace yuccachute
--- a/libs/quarantine/src/quarantine.cpp
+++ b/libs/quarantine/src/quarantine.cpp
@@ -32,34 +32,34 @@
 
 } // namespace
 
-quarantine::standing quarantine::of(const request_identity& identity, steady_time now) const
+quarantine::status quarantine::statusOf(const request_identity& identity, steady_time now) const
 {
     const auto found = m_suspects.find(identity);
     if (found == m_suspects.end() || found->second.record.strikes < strikesOfSuspect)
-        return standing::clear;
+        return status::clear;
     const bool refused
         = found->second.record.strikes >= strikesOfRefused && since(found->second.changed, now) < refusalTime;
-    return refused ? standing::refused : standing::suspect;
+    return refused ? status::refused : status::suspect;
 }
 
-milliseconds quarantine::refusedFor(const request_identity& identity, steady_time now) const
+milliseconds quarantine::remainingRefusalTime(const request_identity& identity, steady_time now) const
 {
-    if (of(identity, now) != standing::refused)
+    if (statusOf(identity, now) != status::refused)
         return milliseconds { 0 };
     return refusalTime - since(m_suspects.at(identity).changed, now);
 }
 
-record_of_strikes quarantine::record(const request_identity& identity) const
+strike_record quarantine::record(const request_identity& identity) const
 {
     const auto found = m_suspects.find(identity);
-    return found == m_suspects.end() ? record_of_strikes {} : found->second.record;
+    return found == m_suspects.end() ? strike_record {} : found->second.record;
 }
 
-bool quarantine::targetEnded(
-    const request_identity& identity, const record_of_strikes& whenSent, steady_time now)
+bool quarantine::targetTerminated(
+    const request_identity& identity, const strike_record& whenSent, steady_time now)
 {
-    const record_of_strikes next { whenSent.acquittals, whenSent.strikes + 1 };
-    if (!next.laterThan(record(identity)))
+    const strike_record next { whenSent.acquittals, whenSent.strikes + 1 };
+    if (!next.supersedes(record(identity)))
         return false;
     set(identity, next, now);
     return true;
@@ -74,15 +74,15 @@
     return true;
 }
 
-bool quarantine::merge(const suspect_note& note, steady_time now)
+bool quarantine::merge(const suspect_report& report, steady_time now)
 {
-    if (!note.record.laterThan(record(note.identity)) || note.age >= memoryTime)
+    if (!report.record.supersedes(record(report.identity)) || report.age >= memoryTime)
         return false;
-    set(note.identity, note.record, now - note.age);
+    set(report.identity, report.record, now - report.age);
     return true;
 }
 
-void quarantine::set(const request_identity& identity, const record_of_strikes& record, steady_time changed)
+void quarantine::set(const request_identity& identity, const strike_record& record, steady_time changed)
 {
     m_suspects.insert_or_assign(identity, suspect { record, changed });
     if (m_suspects.size() > mostSuspects)
@@ -107,9 +107,9 @@
     });
 }
 
-std::vector<suspect_note> quarantine::notes(steady_time now) const
+std::vector<suspect_report> quarantine::reports(steady_time now) const
 {
-    std::vector<suspect_note> all;
+    std::vector<suspect_report> all;
     all.reserve(m_suspects.size());
     for (const auto& [identity, one] : m_suspects)
         all.push_back({ identity, one.record, since(one.changed, now) });
@@ -123,20 +123,20 @@
     return all;
 }
 
-std::optional<suspect_note> quarantine::note(const request_identity& identity, steady_time now) const
+std::optional<suspect_report> quarantine::report(const request_identity& identity, steady_time now) const
 {
     const auto found = m_suspects.find(identity);
     if (found == m_suspects.end())
         return std::nullopt;
-    return suspect_note { identity, found->second.record, since(found->second.changed, now) };
+    return suspect_report { identity, found->second.record, since(found->second.changed, now) };
 }
 
-std::uint64_t digestOf(std::span<const suspect_note> notes)
+std::uint64_t digestOf(std::span<const suspect_report> reports)
 {
     std::uint64_t digest = 0;
-    for (const auto& note : notes) {
-        const std::array<std::uint64_t, 4> words { note.identity.high, note.identity.low,
-            note.record.acquittals, note.record.strikes };
+    for (const auto& report : reports) {
+        const std::array<std::uint64_t, 4> words { report.identity.high, report.identity.low,
+            report.record.acquittals, report.record.strikes };
         digest ^= XXH3_64bits(words.data(), sizeof words);
     }
     return digest;
--- a/libs/quarantine/tests/test_quarantine.cpp
+++ b/libs/quarantine/tests/test_quarantine.cpp
@@ -14,7 +14,7 @@
     return identify(parts);
 }
 
-using standing = quarantine::standing;
+using status = quarantine::status;
 using std::chrono::minutes;
 
 constexpr request_identity guilty { 1, 1 };
@@ -22,8 +22,11 @@
 
 struct fixture {
     /// A run that is sent now ends its target.
-    void end(const request_identity& identity) { known.targetEnded(identity, known.record(identity), now); }
-    standing of(const request_identity& identity) const { return known.of(identity, now); }
+    void end(const request_identity& identity)
+    {
+        known.targetTerminated(identity, known.record(identity), now);
+    }
+    status statusOf(const request_identity& identity) const { return known.statusOf(identity, now); }
 
     quarantine known;
     steady_time now { std::chrono::hours { 1 } };
@@ -54,13 +57,13 @@
 {
     fixture f;
     f.end(guilty);
-    CHECK(f.of(guilty) == standing::clear); // It may be a victim.
+    CHECK(f.statusOf(guilty) == status::clear); // It may be a victim.
     f.end(guilty);
-    CHECK(f.of(guilty) == standing::suspect);
+    CHECK(f.statusOf(guilty) == status::suspect);
     f.end(guilty);
-    CHECK(f.of(guilty) == standing::refused);
-    CHECK(f.of(popular) == standing::clear);
-    CHECK(f.known.refusedFor(guilty, f.now) == minutes { 5 });
+    CHECK(f.statusOf(guilty) == status::refused);
+    CHECK(f.statusOf(popular) == status::clear);
+    CHECK(f.known.remainingRefusalTime(guilty, f.now) == minutes { 5 });
 }
 
 // Story: a rack of targets ends under a request that all callers send. It ran on each of them, and was
@@ -70,9 +73,9 @@
     fixture f;
     const auto whenSent = f.known.record(popular);
     for (int i = 0; i < 30; ++i)
-        f.known.targetEnded(popular, whenSent, f.now);
+        f.known.targetTerminated(popular, whenSent, f.now);
     CHECK(f.known.record(popular).strikes == 1);
-    CHECK(f.of(popular) == standing::clear);
+    CHECK(f.statusOf(popular) == status::clear);
 }
 
 TEST_CASE("a whole answer acquits a request, also of ends of runs that were sent before")
@@ -83,11 +86,11 @@
     const auto whenSent = f.known.record(popular);
     CHECK(f.known.answered(popular, f.now));
     CHECK_FALSE(f.known.answered(popular, f.now));
-    CHECK(f.of(popular) == standing::clear);
-    CHECK_FALSE(f.known.targetEnded(popular, whenSent, f.now));
-    CHECK(f.of(popular) == standing::clear);
+    CHECK(f.statusOf(popular) == status::clear);
+    CHECK_FALSE(f.known.targetTerminated(popular, whenSent, f.now));
+    CHECK(f.statusOf(popular) == status::clear);
     f.end(popular);
-    CHECK(f.known.record(popular) == record_of_strikes { 1, 1 });
+    CHECK(f.known.record(popular) == strike_record { 1, 1 });
 }
 
 // Story: the service's next version bears the request, and its caller is refused for good.
@@ -97,11 +100,11 @@
     for (int i = 0; i < 3; ++i)
         f.end(guilty);
     f.now += minutes { 4 };
-    CHECK(f.of(guilty) == standing::refused);
+    CHECK(f.statusOf(guilty) == status::refused);
     f.now += minutes { 1 };
-    CHECK(f.of(guilty) == standing::suspect);
+    CHECK(f.statusOf(guilty) == status::suspect);
     f.end(guilty);
-    CHECK(f.of(guilty) == standing::refused);
+    CHECK(f.statusOf(guilty) == status::refused);
     f.now += minutes { 15 };
     f.known.expire(f.now);
     CHECK(f.known.empty());
@@ -116,17 +119,17 @@
     right.end(guilty);
     right.end(popular);
     right.known.answered(popular, right.now);
-    const auto fromLeft = left.known.notes(left.now);
-    const auto fromRight = right.known.notes(right.now);
+    const auto fromLeft = left.known.reports(left.now);
+    const auto fromRight = right.known.reports(right.now);
     CHECK(digestOf(fromLeft) != digestOf(fromRight));
-    for (const auto& note : fromLeft)
-        CHECK(right.known.merge(note, right.now));
-    for (const auto& note : fromRight)
-        left.known.merge(note, left.now);
-    CHECK(digestOf(left.known.notes(left.now)) == digestOf(right.known.notes(right.now)));
-    CHECK(right.of(guilty) == standing::suspect);
-    for (const auto& note : fromRight)
-        CHECK_FALSE(left.known.merge(note, left.now));
+    for (const auto& report : fromLeft)
+        CHECK(right.known.merge(report, right.now));
+    for (const auto& report : fromRight)
+        left.known.merge(report, left.now);
+    CHECK(digestOf(left.known.reports(left.now)) == digestOf(right.known.reports(right.now)));
+    CHECK(right.statusOf(guilty) == status::suspect);
+    for (const auto& report : fromRight)
+        CHECK_FALSE(left.known.merge(report, left.now));
 }
 
 // Story: a refusal that travels from process to process must not begin anew with each hop.
@@ -134,9 +137,9 @@
 {
     fixture f;
     f.known.merge({ guilty, { 0, 3 }, minutes { 4 } }, f.now);
-    CHECK(f.of(guilty) == standing::refused);
+    CHECK(f.statusOf(guilty) == status::refused);
     f.now += minutes { 1 };
-    CHECK(f.of(guilty) == standing::suspect);
+    CHECK(f.statusOf(guilty) == status::suspect);
     CHECK_FALSE(f.known.merge({ popular, { 0, 3 }, minutes { 16 } }, f.now));
 }
 
@@ -150,8 +153,9 @@
     for (std::uint64_t i = 10; i < 5000; ++i)
         f.end({ i, i });
     CHECK(f.known.size() == 1024);
-    CHECK(f.of(guilty) == standing::refused);
-    const auto notes = f.known.notes(f.now);
-    CHECK(notes.size() == 64);
-    CHECK(std::any_of(notes.begin(), notes.end(), [](const auto& note) { return note.identity == guilty; }));
+    CHECK(f.statusOf(guilty) == status::refused);
+    const auto reports = f.known.reports(f.now);
+    CHECK(reports.size() == 64);
+    CHECK(std::any_of(
+        reports.begin(), reports.end(), [](const auto& report) { return report.identity == guilty; }));
 }
--- a/libs/routing/include/routing/routing.h
+++ b/libs/routing/include/routing/routing.h
@@ -39,18 +39,18 @@
     request_kind kind = request_kind::safe;
     milliseconds timeout { 0 }; ///< Longest time for which a caller is kept.
     milliseconds objective { 0 }; ///< Within which an answer, or a stream's first event, is on time.
-    milliseconds gapObjective { 0 }; ///< Longest pause between events of a stream that is on time.
+    milliseconds interEventObjective { 0 }; ///< Longest pause between events of a stream that is on time.
     unsigned priority = 0; ///< 0 is the highest.
     unsigned maxAttempts = 1; ///< Targets that one request may run on.
     bool resumable = false;
-    bool openToAll = false; ///< Callers need no key.
+    bool allowsAnonymous = false; ///< Callers need no key.
     std::vector<service_share> shares;
-    milliseconds resultsDue { 0 }; ///< Batch: from the first submission to the last result.
+    milliseconds completionWindow { 0 }; ///< Batch: from the first submission to the last result.
     milliseconds expiry { 0 }; ///< Batch: after which an item may be given up.
-    std::uint64_t mostWaitingTokens = 0; ///< Batch: of all accepted items without a result; 0 for no limit.
+    std::uint64_t maxPendingTokens = 0; ///< Batch: of all accepted items without a result; 0 for no limit.
 
     /// Whether a request may run again after an unknown outcome.
-    bool repeatable() const
+    bool retryable() const
     {
         return kind == request_kind::safe || (kind == request_kind::streaming && resumable);
     }
@@ -77,7 +77,7 @@
     unsigned priority = 0; ///< 0 is the highest.
     double requestsPerSecond = 0; ///< 0 for no limit.
     double burst = 0; ///< Requests on top of the rate.
-    std::uint64_t mostWaitingTokens = 0; ///< Of batch items on each route; 0 for the route's own limit.
+    std::uint64_t maxPendingTokens = 0; ///< Of batch items on each route; 0 for the route's own limit.
 };
 
 /// The customers and their keys. A key is a secret: it is looked up here and goes nowhere else.
@@ -165,7 +165,7 @@
     std::vector<target_change> expire(steady_time trustedFrom, steady_time now);
 
     /// Whether some targets are kept although they are missing from the list.
-    bool keepsMissing() const { return !m_missingSince.empty(); }
+    bool hasMissingTargets() const { return !m_missingSince.empty(); }
     /// Ids of these, and since when they are missing.
     const std::map<std::string, steady_time, std::less<>>& missing() const { return m_missingSince; }
 
--- a/libs/rpc/tests/test_rpc.cpp
+++ b/libs/rpc/tests/test_rpc.cpp
@@ -127,7 +127,7 @@
     rpc_server server(address, {}, &handler, &jobs);
     rpc_client client({});
     const member_info self { "vm", "z", "a", "", "", 1, 2, false, 3, 0 };
-    const auto echoed = client.gossip(address, { "z", { noteOf(self) }, { self }, { 5 } }, 5s);
+    const auto echoed = client.gossip(address, { "z", { heartbeatOf(self) }, { self }, { 5 } }, 5s);
     REQUIRE(echoed);
     CHECK(echoed.value().members.at(0).settingsVersion == 3);
     CHECK(echoed.value().notes.at(0).heartbeat == 2);
--- a/libs/wire/src/wire.cpp
+++ b/libs/wire/src/wire.cpp
@@ -30,7 +30,7 @@
     out.set_wait_ms(static_cast<std::uint32_t>(millisecondsUntil(ask.deadline, now)));
     out.set_due_in_ms(millisecondsUntil(ask.due, now));
     out.set_hold_ms(static_cast<std::uint32_t>(ask.hold.count()));
-    out.set_at_once(ask.atOnce);
+    out.set_at_once(ask.immediate);
     out.set_request_id(ask.requestId);
     out.set_begun(ask.begun);
 }
@@ -50,20 +50,20 @@
     ask.avoid = in.avoid();
     ask.deadline = now + milliseconds { in.wait_ms() };
     ask.hold = milliseconds { in.hold_ms() };
-    ask.atOnce = in.at_once();
+    ask.immediate = in.at_once();
     ask.requestId = in.request_id();
     ask.begun = in.begun();
     ask.due = now + milliseconds { static_cast<std::int64_t>(in.due_in_ms()) };
     return message;
 }
 
-void toWire(const share_ask& ask, peer::LimitMessage& out)
+void toWire(const share_request& ask, peer::LimitMessage& out)
 {
     auto& wire = *out.mutable_share_ask();
     wire.set_stamp(ask.stamp);
     wire.set_borrows(ask.borrows);
-    wire.set_hears_most(ask.survey.hearsMost);
-    for (const auto& vm : ask.survey.silent)
+    wire.set_hears_most(ask.reachability.hasMajority);
+    for (const auto& vm : ask.reachability.unresponsive)
         wire.add_silent(vm);
 }
 
@@ -71,9 +71,9 @@
 {
     auto& wire = *out.mutable_share_loan();
     wire.set_borrower_incarnation(loan.borrowerIncarnation);
-    wire.set_ask_stamp(loan.askStamp);
+    wire.set_ask_stamp(loan.requestStamp);
     wire.set_valid_ms(static_cast<std::uint32_t>(loan.validFor.count()));
-    wire.set_part(loan.part);
+    wire.set_part(loan.share);
     wire.set_added(loan.added);
     wire.set_fill_percent(loan.fillPercent);
     for (const auto& fill : loan.emptier) {
@@ -110,7 +110,7 @@
     }
 }
 
-share_ask fromWire(const peer::ShareAsk& in)
+share_request fromWire(const peer::ShareAsk& in)
 {
     return { in.stamp(), in.borrows(), { in.hears_most(), { in.silent().begin(), in.silent().end() } } };
 }
@@ -119,9 +119,9 @@
 {
     share_loan loan;
     loan.borrowerIncarnation = in.borrower_incarnation();
-    loan.askStamp = in.ask_stamp();
+    loan.requestStamp = in.ask_stamp();
     loan.validFor = milliseconds { in.valid_ms() };
-    loan.part = in.part();
+    loan.share = in.part();
     loan.added = in.added();
     loan.fillPercent = in.fill_percent();
     for (const auto& fill : in.emptier())
@@ -183,7 +183,7 @@
         toWire(ask, now, *out.add_asks());
     for (const auto& grant : message.grants) {
         auto& wire = *out.add_grants();
-        wire.set_ask_id(grant.askId);
+        wire.set_ask_id(grant.slotRequestId);
         wire.set_grant_id(grant.grantId);
         wire.set_target(grant.target);
         wire.set_address(grant.address);
@@ -191,14 +191,14 @@
     }
     for (const auto& refusal : message.refusals) {
         auto& wire = *out.add_refusals();
-        wire.set_ask_id(refusal.askId);
+        wire.set_ask_id(refusal.slotRequestId);
         wire.set_kind(static_cast<std::uint32_t>(refusal.reason.kind));
         wire.set_message(refusal.reason.message);
         wire.set_retry_after_ms(static_cast<std::uint32_t>(refusal.reason.retryAfter.count()));
     }
     for (const auto& moved : message.moved) {
         auto& wire = *out.add_moved();
-        wire.set_ask_id(moved.askId);
+        wire.set_ask_id(moved.slotRequestId);
         wire.set_owner_address(moved.ownerAddress);
     }
     for (const auto& revoke : message.revokes) {
@@ -217,7 +217,7 @@
     for (const auto& withdrawal : message.withdrawals) {
         auto& wire = *out.add_withdrawals();
         wire.set_group(withdrawal.group);
-        wire.set_ask_id(withdrawal.askId);
+        wire.set_ask_id(withdrawal.slotRequestId);
     }
     for (const auto& one : message.limits)
         toWire(one, *out.add_limits());
@@ -270,7 +270,7 @@
     out.set_heartbeat(member.heartbeat);
     out.set_leaving(member.leaving);
     out.set_settings_version(member.settingsVersion);
-    out.set_others_version(member.othersVersion);
+    out.set_others_version(member.otherProcessesVersion);
 }
 
 member_info fromWire(const peer::Member& in)
@@ -284,7 +284,7 @@
     out.set_zone(message.zone);
     std::int64_t highest = 0;
     for (const auto& note : message.notes)
-        highest = std::max({ highest, note.settingsVersion, note.othersVersion });
+        highest = std::max({ highest, note.settingsVersion, note.otherProcessesVersion });
     out.set_highest_version(highest);
     for (const auto& note : message.notes) {
         auto& wire = *out.add_notes();
@@ -292,8 +292,9 @@
         wire.set_fingerprint(note.fingerprint);
         wire.set_heartbeat(note.heartbeat);
         wire.set_settings_behind(static_cast<std::uint64_t>(highest - note.settingsVersion));
-        wire.set_others_behind(
-            note.othersVersion == 0 ? 0 : static_cast<std::uint64_t>(highest - note.othersVersion) + 1);
+        wire.set_others_behind(note.otherProcessesVersion == 0
+                ? 0
+                : static_cast<std::uint64_t>(highest - note.otherProcessesVersion) + 1);
         wire.set_leaving(note.leaving);
     }
     for (const auto& member : message.members)
@@ -424,7 +425,7 @@
 
 namespace {
 
-void toWire(const suspect_note& note, peer::Suspect& out)
+void toWire(const suspect_report& note, peer::Suspect& out)
 {
     out.set_identity_high(note.identity.high);
     out.set_identity_low(note.identity.low);
@@ -433,7 +434,7 @@
     out.set_age_ms(static_cast<std::uint64_t>(note.age.count()));
 }
 
-suspect_note fromWire(const peer::Suspect& in)
+suspect_report fromWire(const peer::Suspect& in)
 {
     return { { in.identity_high(), in.identity_low() }, { in.acquittals(), in.strikes() },
         milliseconds { static_cast<std::int64_t>(in.age_ms()) } };
--- a/libs/wire/tests/test_wire.cpp
+++ b/libs/wire/tests/test_wire.cpp
@@ -14,7 +14,7 @@
 TEST_CASE("an envelope survives its encoding")
 {
     envelope message;
-    grant_ask ask;
+    slot_request ask;
     ask.id = 7;
     ask.customer = "armor";
     ask.workClass = work_class::bulk;
@@ -30,7 +30,7 @@
     message.revokes.push_back({ "g", 11 });
     message.releases.push_back({ "g", { 12, grant_outcome::failed, 13ms, 14 } });
     message.withdrawals.push_back({ "g", 15 });
-    message.limits.push_back({ "vm", 7, share_ask { 123456789, true, { true, { "away" } } } });
+    message.limits.push_back({ "vm", 7, share_request { 123456789, true, { true, { "away" } } } });
     message.limits.push_back(
         { "vm", 7, share_loan { 8, 123456789, 600ms, 0.25, 0.1, 90, { { 99, 12 } }, true, true } });
     message.limits.push_back({ "vm", 7, token_request { 5, { { 99, 0.5, 12 } } } });
@@ -51,7 +51,7 @@
     CHECK(copy.moved[0].ownerAddress == "127.0.0.1:9");
     CHECK(copy.revokes[0].grantId == 11);
     CHECK(copy.releases[0].release.outcome == grant_outcome::failed);
-    CHECK(copy.withdrawals[0].askId == 15);
+    CHECK(copy.withdrawals[0].slotRequestId == 15);
     CHECK(copy.limits == message.limits);
     CHECK(copy.asks.front().ask.begun);
 }
@@ -66,7 +66,7 @@
     CHECK(memberCopy.adminAddress == member.adminAddress);
     CHECK(memberCopy.leaving);
     CHECK(memberCopy.settingsVersion == 6);
-    CHECK(memberCopy.othersVersion == 7);
+    CHECK(memberCopy.otherProcessesVersion == 7);
 
     settings_tree tree;
     tree.version = 9;
@@ -90,16 +90,16 @@
     const auto copy = fromWire(wire);
     CHECK(copy.zone == "a");
     CHECK(copy.notes[0].settingsVersion == 100);
-    CHECK(copy.notes[0].othersVersion == 90);
+    CHECK(copy.notes[0].otherProcessesVersion == 90);
     CHECK(copy.notes[1].settingsVersion == 80);
-    CHECK(copy.notes[1].othersVersion == 0);
+    CHECK(copy.notes[1].otherProcessesVersion == 0);
     CHECK(copy.notes[1].leaving);
     CHECK(copy.wanted == std::vector<std::uint32_t> { 7 });
 }
 
 TEST_CASE("what is known of suspected requests survives its encoding")
 {
-    const suspect_note note { { 1, 2 }, { 3, 4 }, milliseconds { 500 } };
+    const suspect_report note { { 1, 2 }, { 3, 4 }, milliseconds { 500 } };
     peer::SyncRequest wireQuestion;
     toWire(sync_question { { { "targets/", 7 } }, { note }, 9 }, wireQuestion);
     const auto question = fromWire(wireQuestion);
