--- a/libs/dispatch/src/budgets.cpp
+++ b/libs/dispatch/src/budgets.cpp
@@ -10,7 +10,7 @@
 {
     if (perSecond <= 0)
         return milliseconds { 0 };
-    // An amount above a second's worth could never be taken: it may overdraw a full bucket instead.
+    // An amount above the capacity would never be available: it overdraws a full bucket instead.
     const double capacity = std::max(perSecond, 1.0);
     const double elapsed = m_started ? std::chrono::duration<double>(now - m_last).count() : 1.0;
     m_level = m_started ? std::min(capacity, m_level + elapsed * perSecond) : capacity;
@@ -27,7 +27,7 @@
 
 void retry_budget::countRequest(double share)
 {
-    m_level = std::min(most, m_level + share);
+    m_level = std::min(maxLevel, m_level + share);
 }
 
 bool retry_budget::takeRetry()
@@ -40,36 +40,36 @@
 
 namespace {
 
-/// About the time from a revocation until the item has left its target.
-constexpr milliseconds spanLength { 20 };
-constexpr std::int64_t spansKept = 250;
+/// Approximate time from a revocation until the item has left its target.
+constexpr milliseconds intervalLength { 20 };
+constexpr std::int64_t intervalsKept = 250;
 
-std::int64_t spanOf(steady_time time)
+std::int64_t intervalNumber(steady_time time)
 {
-    return time.time_since_epoch() / spanLength;
+    return time.time_since_epoch() / intervalLength;
 }
 
 } // namespace
 
 void arrival_history::record(steady_time now)
 {
-    const auto span = spanOf(now);
-    if (m_spans.empty() || m_spans.back().first != span)
-        m_spans.emplace_back(span, 0);
-    ++m_spans.back().second;
-    while (m_spans.front().first <= span - spansKept)
-        m_spans.pop_front();
+    const auto span = intervalNumber(now);
+    if (m_intervals.empty() || m_intervals.back().first != span)
+        m_intervals.emplace_back(span, 0);
+    ++m_intervals.back().second;
+    while (m_intervals.front().first <= span - intervalsKept)
+        m_intervals.pop_front();
 }
 
-unsigned arrival_history::busySpan(steady_time now) const
+unsigned arrival_history::p95Arrivals(steady_time now) const
 {
-    constexpr std::size_t exceeding = spansKept / 20;
+    constexpr std::size_t exceeding = intervalsKept / 20;
     std::vector<unsigned> counts;
-    for (const auto& [span, count] : m_spans) {
-        if (span > spanOf(now) - spansKept)
+    for (const auto& [span, count] : m_intervals) {
+        if (span > intervalNumber(now) - intervalsKept)
             counts.push_back(count);
     }
-    // Spans without arrivals are not kept: with fewer busy ones than may exceed it, the answer is none.
+    // Intervals without arrivals are not kept: if all kept ones are within the top 5%, the percentile is 0.
     if (counts.size() <= exceeding)
         return 0;
     std::nth_element(counts.begin(), counts.begin() + exceeding, counts.end(), std::greater<>());
--- a/libs/dispatch/src/overload_spells.cpp
+++ b/libs/dispatch/src/overload_spells.cpp
@@ -6,15 +6,17 @@
 
 namespace {
 
-/// Refusals further apart belong to different spells: under overload tens come in a second.
-constexpr milliseconds longestGap { 500 };
-constexpr double newestWeight = 0.3;
-/// A spell counts in full from so many refusals on: callers hardly ever meet the many of one or two.
-constexpr double refusalsOfSpell = 10;
-/// The queue that a spell leaves behind takes about this long to be served.
-constexpr milliseconds afterEnd { 300 };
-/// Beyond this it is no spell but a lack of targets, and says nothing about the next one.
-constexpr double longestSpellMs = 10000;
+/// Refusals further apart belong to different periods: an overloaded group refuses tens of requests per
+/// second.
+constexpr milliseconds maxRefusalGap { 500 };
+constexpr double newestPeriodWeight = 0.3;
+/// Number of refusals from which a period has full weight in the mean. Periods of one or two refusals are
+/// frequent but affect hardly any caller.
+constexpr double refusalsForFullWeight = 10;
+/// Approximate time to serve the queue that remains at the end of a period.
+constexpr milliseconds queueDrainTime { 300 };
+/// A longer period is due to a lack of targets and does not predict the length of the next one.
+constexpr double maxPeriodMs = 10000;
 
 double toMs(steady_time::duration duration)
 {
@@ -23,23 +25,24 @@
 
 } // namespace
 
-void overload_spells::refused(steady_time now)
+void overload_periods::recordRefusal(steady_time now)
 {
-    if (now - m_last > longestGap) {
-        const double length = std::min(toMs(m_last - m_begin), longestSpellMs);
-        m_meanMs += newestWeight * std::min(1.0, m_refusals / refusalsOfSpell) * (length - m_meanMs);
-        m_begin = now;
+    if (now - m_last > maxRefusalGap) {
+        const double length = std::min(toMs(m_last - m_periodStart), maxPeriodMs);
+        m_meanLengthMs += newestPeriodWeight * std::min(1.0, m_refusals / refusalsForFullWeight)
+            * (length - m_meanLengthMs);
+        m_periodStart = now;
         m_refusals = 0;
     }
     m_last = now;
     ++m_refusals;
 }
 
-milliseconds overload_spells::returnAfter(steady_time now) const
+milliseconds overload_periods::retryDelay(steady_time now) const
 {
-    const bool inSpell = now - m_last <= longestGap;
-    const double elapsed = inSpell ? std::min(toMs(now - m_begin), longestSpellMs) : 0;
-    return milliseconds { static_cast<std::int64_t>(std::max(m_meanMs, elapsed)) } + afterEnd;
+    const bool overloaded = now - m_last <= maxRefusalGap;
+    const double elapsed = overloaded ? std::min(toMs(now - m_periodStart), maxPeriodMs) : 0;
+    return milliseconds { static_cast<std::int64_t>(std::max(m_meanLengthMs, elapsed)) } + queueDrainTime;
 }
 
 } // namespace yuccachute
--- a/libs/dispatch/src/prefix_index.cpp
+++ b/libs/dispatch/src/prefix_index.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t blockBytes = 64;
-constexpr std::size_t mostBlocks = 32;
+constexpr std::size_t maxBlocks = 32;
 constexpr std::size_t targetsPerHint = 4;
 
 } // namespace
@@ -18,7 +18,7 @@
 {
     std::vector<std::uint64_t> hashes;
     std::uint64_t chained = 0;
-    while (prompt.size() >= blockBytes && hashes.size() < mostBlocks) {
+    while (prompt.size() >= blockBytes && hashes.size() < maxBlocks) {
         chained = hashText(prompt.substr(0, blockBytes), chained);
         hashes.push_back(chained);
         prompt.remove_prefix(blockBytes);
@@ -37,15 +37,15 @@
         if (hint.targets.size() > targetsPerHint)
             hint.targets.erase(hint.targets.begin());
         if (fresh)
-            m_oldest.push_back(hash);
+            m_insertionOrder.push_back(hash);
     }
-    while (m_oldest.size() > m_capacity) {
-        m_hints.erase(m_oldest.front());
-        m_oldest.pop_front();
+    while (m_insertionOrder.size() > m_capacity) {
+        m_hints.erase(m_insertionOrder.front());
+        m_insertionOrder.pop_front();
     }
 }
 
-std::size_t prefix_index::matched(
+std::size_t prefix_index::matchedBlocks(
     std::span<const std::uint64_t> prefixes, std::string_view target, steady_time now) const
 {
     std::size_t count = 0;
@@ -61,7 +61,7 @@
     return count;
 }
 
-void prefix_index::forgetTarget(std::string_view target)
+void prefix_index::eraseTarget(std::string_view target)
 {
     for (auto& [hash, hint] : m_hints)
         std::erase(hint.targets, target);
--- a/libs/dispatch/src/target_health.cpp
+++ b/libs/dispatch/src/target_health.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr unsigned failuresToEject = 3;
-constexpr unsigned probesToHeal = 3;
-constexpr unsigned mostDoublings = 5;
+constexpr unsigned probesToRecover = 3;
+constexpr unsigned maxEjectionDoublings = 5;
 constexpr milliseconds firstEjection { 1000 };
 
 } // namespace
@@ -18,7 +18,7 @@
     m_failures = 0;
     if (at(now) != state::probing)
         return;
-    if (++m_probesPassed < probesToHeal)
+    if (++m_probesPassed < probesToRecover)
         return;
     m_ejected = false;
     m_ejections = 0;
@@ -31,10 +31,10 @@
     if (!probeFailed && m_failures < failuresToEject)
         return;
     if (at(now) == state::ejected)
-        return; // A late failure of work sent before the ejection.
+        return; // Late failure of a request sent before the ejection.
     m_ejected = true;
     m_probesPassed = 0;
-    m_until = now + firstEjection * (1u << std::min(m_ejections, mostDoublings));
+    m_until = now + firstEjection * (1u << std::min(m_ejections, maxEjectionDoublings));
     ++m_ejections;
 }
 
--- a/libs/dispatch/src/working_set.cpp
+++ b/libs/dispatch/src/working_set.cpp
@@ -8,34 +8,36 @@
 
 namespace {
 
-/// Loads come in peaks some seconds apart; the targets that the last one took are kept for the next.
-constexpr std::chrono::seconds demandMemory { 10 };
-/// The load may double before the targets that are taken into use then have reported.
-constexpr std::size_t headroom = 2;
-/// Of targets that cannot be used no more are held than this multiple of what is wanted: where none answers
-/// it is more likely this process that cannot hear them.
-constexpr std::size_t mostHeld = 4;
+/// Time for which peaks of demand are remembered. Load peaks follow each other within seconds, and the
+/// targets activated for one are kept for the next.
+constexpr std::chrono::seconds demandWindow { 10 };
+/// Slots in use relative to the peak demand. The load may double before the targets that are activated for it
+/// have reported.
+constexpr std::size_t headroomFactor = 2;
+/// Maximum slots of all targets in use, usable or not, relative to the desired slots. If no target answers,
+/// the fault is probably in this process's network, and activating more targets would not help.
+constexpr std::size_t maxOverprovisioning = 4;
 
 } // namespace
 
-std::uint64_t restOrder(std::string_view target)
+std::uint64_t activationOrder(std::string_view target)
 {
     return hashText(target);
 }
 
-void resting_targets::put(target_description target)
+void standby_targets::add(target_description target)
 {
-    const auto order = restOrder(target.name);
+    const auto order = activationOrder(target.name);
     auto name = target.name;
     m_targets.insert_or_assign({ order, std::move(name) }, std::move(target));
 }
 
-bool resting_targets::remove(std::string_view name)
+bool standby_targets::remove(std::string_view name)
 {
-    return m_targets.erase({ restOrder(name), std::string(name) }) > 0;
+    return m_targets.erase({ activationOrder(name), std::string(name) }) > 0;
 }
 
-std::optional<target_description> resting_targets::takeFirst()
+std::optional<target_description> standby_targets::popFirst()
 {
     if (m_targets.empty())
         return std::nullopt;
@@ -43,7 +45,7 @@
     return std::move(first.mapped());
 }
 
-std::vector<std::string> resting_targets::names() const
+std::vector<std::string> standby_targets::names() const
 {
     std::vector<std::string> names;
     for (const auto& [order, target] : m_targets)
@@ -51,35 +53,36 @@
     return names;
 }
 
-void demand_history::note(std::size_t slots, steady_time now)
+void demand_history::record(std::size_t slots, steady_time now)
 {
     const auto second = std::chrono::floor<std::chrono::seconds>(now.time_since_epoch());
     if (m_peaks.empty() || m_peaks.back().first < second)
         m_peaks.emplace_back(second, slots);
     else
         m_peaks.back().second = std::max(m_peaks.back().second, slots);
-    while (second - m_peaks.front().first > demandMemory)
+    while (second - m_peaks.front().first > demandWindow)
         m_peaks.pop_front();
 }
 
-std::size_t demand_history::wantedSlots() const
+std::size_t demand_history::desiredSlots() const
 {
     std::size_t peak = 0;
     for (const auto& [second, slots] : m_peaks)
         peak = std::max(peak, slots);
-    return headroom * peak;
+    return headroomFactor * peak;
 }
 
-bool takesMoreTargets(const working_set_state& state, std::size_t leastTargets)
+bool needsMoreTargets(const working_set_state& state, std::size_t minTargets)
 {
-    if (state.targets < leastTargets)
+    if (state.targets < minTargets)
         return true;
-    return state.usableSlots < state.wantedSlots && state.allSlots < mostHeld * state.wantedSlots;
+    return state.usableSlots < state.desiredSlots
+        && state.totalSlots < maxOverprovisioning * state.desiredSlots;
 }
 
-bool canRest(const working_set_state& state, std::size_t slots, std::size_t leastTargets)
+bool canDeactivate(const working_set_state& state, std::size_t slots, std::size_t minTargets)
 {
-    return state.targets > leastTargets && state.usableSlots >= state.wantedSlots + slots;
+    return state.targets > minTargets && state.usableSlots >= state.desiredSlots + slots;
 }
 
 } // namespace yuccachute
--- a/libs/dispatch/tests/test_dispatch.cpp
+++ b/libs/dispatch/tests/test_dispatch.cpp
@@ -19,17 +19,17 @@
     return group;
 }
 
-slot_request makeAsk(
+slot_request makeRequest(
     std::uint64_t id, work_class workClass = work_class::live, std::string customer = "armor")
 {
-    slot_request ask;
-    ask.holder = 1;
-    ask.id = id;
-    ask.customer = std::move(customer);
-    ask.workClass = workClass;
-    ask.deadline = start + 30s;
-    ask.due = start + 1h;
-    return ask;
+    slot_request request;
+    request.holder = 1;
+    request.id = id;
+    request.customer = std::move(customer);
+    request.workClass = workClass;
+    request.deadline = start + 30s;
+    request.due = start + 1h;
+    return request;
 }
 
 template <typename Kind> std::vector<Kind> only(const std::vector<decision>& decisions)
@@ -48,7 +48,7 @@
 {
     auto group = makeGroup(adaptive_bulk {}, 2, 2);
     for (std::uint64_t id = 1; id <= 6; ++id)
-        group.ask(makeAsk(id), start);
+        group.ask(makeRequest(id), start);
     const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 4);
     CHECK(given[0].target != given[1].target);
@@ -60,78 +60,78 @@
     CHECK(next[0].target == given[0].target);
 }
 
-TEST_CASE("bulk leaves the reserve free and yields at once to live arrivals")
+TEST_CASE("bulk work leaves the reserve free and is revoked at once for live arrivals")
 {
     auto group = makeGroup(adaptive_bulk { 0.25 }, 1, 8);
     for (std::uint64_t id = 1; id <= 20; ++id)
-        group.ask(makeAsk(id, work_class::bulk), start);
+        group.ask(makeRequest(id, work_class::bulk), start);
     auto now = start;
     for (int i = 0; i < 100; ++i)
         group.tick(now += 20ms);
     const auto bulk = only<slot_grant>(group.takeDecisions());
     CHECK(bulk.size() == 6);
     for (std::uint64_t id = 101; id <= 105; ++id)
-        group.ask(makeAsk(id), now);
+        group.ask(makeRequest(id), now);
     const auto decisions = group.takeDecisions();
-    // Two free places, and three of items that are told to leave: nobody waits for their answer.
+    // Two free slots and three of revoked items, which are granted without waiting for their release.
     CHECK(only<slot_grant>(decisions).size() == 5);
     const auto revoked = only<grant_revocation>(decisions);
     REQUIRE(revoked.size() == 3);
     CHECK(revoked[0].grantId == bulk.back().grantId);
-    group.ask(makeAsk(106), now);
+    group.ask(makeRequest(106), now);
     CHECK(only<grant_revocation>(group.takeDecisions()).size() == 1);
-    // What was revoked frees no second place when it is released.
+    // The release of a revoked grant does not free its slot a second time.
     for (const auto& one : revoked)
         group.release({ one.grantId, grant_outcome::abandoned, 0ms, 0 }, now + 5ms);
     for (std::uint64_t id = 107; id <= 110; ++id)
-        group.ask(makeAsk(id), now + 5ms);
+        group.ask(makeRequest(id), now + 5ms);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 2);
     CHECK(group.summary(now + 5ms).live == 8);
     CHECK(group.summary(now + 5ms).liveWaiting == 2);
 }
 
-TEST_CASE("the reserve follows the busy spans of arrivals, not the number of requests")
+TEST_CASE("the reserve is derived from the busy intervals of arrivals, not from the number of requests")
 {
     arrival_history arrivals;
-    CHECK(arrivals.busySpan(start) == 0);
-    // One request in each span of 20 ms, and five at once in every tenth.
+    CHECK(arrivals.p95Arrivals(start) == 0);
+    // One request in each interval of 20 ms, but five in every tenth.
     for (int span = 0; span < 250; ++span) {
         for (int i = 0; i < (span % 10 == 0 ? 5 : 1); ++i)
             arrivals.record(start + 20ms * span);
     }
-    CHECK(arrivals.busySpan(start + 5s) == 5);
-    CHECK(arrivals.busySpan(start + 60s) == 0);
+    CHECK(arrivals.p95Arrivals(start + 5s) == 5);
+    CHECK(arrivals.p95Arrivals(start + 60s) == 0);
 }
 
-TEST_CASE("each policy keeps its own promise")
+TEST_CASE("each bulk policy computes its allowance")
 {
-    const bulk_situation half { 16, 8, 0, 2, 0, 1.0 };
+    const bulk_policy_input half { 16, 8, 0, 2, 0, 1.0 };
     CHECK(bulkAllowance(no_bulk {}, half) == 0);
     CHECK(bulkAllowance(unlimited_bulk {}, half) > 1000000);
     CHECK(bulkAllowance(fixed_bulk { 3 }, half) == 6);
     CHECK(bulkAllowance(adaptive_bulk { 0.1 }, half) == 6);
-    bulk_situation waiting = half;
+    bulk_policy_input waiting = half;
     waiting.liveWaiting = 1;
     CHECK(bulkAllowance(adaptive_bulk { 0.1 }, waiting) == 0);
-    bulk_situation surging = half;
-    surging.arrivals = 6;
-    CHECK(bulkAllowance(adaptive_bulk { 0.1 }, surging) == 2);
+    bulk_policy_input busy = half;
+    busy.arrivals = 6;
+    CHECK(bulkAllowance(adaptive_bulk { 0.1 }, busy) == 2);
     CHECK(adaptWindow(0.5, true, true) == 0.25);
     CHECK(adaptWindow(0.5, false, false) == 0.5);
     CHECK(adaptWindow(0.99, false, true) == 1.0);
 }
 
-// Story: a target dies; every request that is sent there fails and is sent again, and callers wait through it
-// for as long as the list of targets lags behind. It must get nothing after a few failures, then single
-// probes.
-TEST_CASE("a failing target is ejected, probed one by one, and healed")
+// Guards against requests that are sent to a crashed target and retried, with the delay for the callers, for
+// as long as the list of targets still contains it. After a few failures the target gets no requests, then
+// single probes.
+TEST_CASE("a failing target is ejected, probed with single requests, and used again")
 {
     auto group = makeGroup(adaptive_bulk {}, 2, 4);
     auto now = start;
     std::uint64_t id = 0;
     int sentToFailing = 0;
     const auto sendOne = [&](bool healthy) {
-        group.ask(makeAsk(++id), now);
+        group.ask(makeRequest(++id), now);
         const auto given = only<slot_grant>(group.takeDecisions());
         REQUIRE(given.size() == 1);
         const bool bad = given[0].target == "t0";
@@ -162,33 +162,33 @@
     CHECK(health.at(start + 3s) == target_health::state::probing);
 }
 
-// Story: a caller with a timeout of one second is held in a long queue and told after a second that there was
-// no room; it asks again and lengthens the queue. It must be refused on arrival and told when to come back.
-TEST_CASE("a request that cannot be served in time is refused at once with a time to come back")
+// Guards against a request that waits in a long queue until its timeout of one second, is refused then, and
+// is retried, which lengthens the queue. It has to be refused on arrival with a time to retry after.
+TEST_CASE("a request that cannot be served in time is refused at once with a time to retry after")
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 1);
-    group.ask(makeAsk(1), start);
+    group.ask(makeRequest(1), start);
     auto given = only<slot_grant>(group.takeDecisions());
     group.release({ given[0].grantId, grant_outcome::ok, 1ms, 1 }, start + 400ms);
     for (std::uint64_t id = 2; id <= 7; ++id)
-        group.ask(makeAsk(id), start + 400ms);
+        group.ask(makeRequest(id), start + 400ms);
     group.takeDecisions();
-    auto hurried = makeAsk(8);
-    hurried.deadline = start + 1400ms;
-    group.ask(hurried, start + 400ms);
+    auto urgent = makeRequest(8);
+    urgent.deadline = start + 1400ms;
+    group.ask(urgent, start + 400ms);
     const auto refused = only<slot_refusal>(group.takeDecisions());
     REQUIRE(refused.size() == 1);
     CHECK(refused[0].reason.ran == verdict::not_run);
     CHECK(refused[0].reason.retryAfter == 2000ms);
 }
 
-TEST_CASE("a queue has a limit per customer, and an expired ask is answered")
+TEST_CASE("the queue is limited per customer, and an expired request is refused")
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 1);
-    auto ask = makeAsk(1);
-    ask.queueLimit = 1;
-    for (; ask.id <= 3; ++ask.id)
-        group.ask(ask, start);
+    auto request = makeRequest(1);
+    request.queueLimit = 1;
+    for (; request.id <= 3; ++request.id)
+        group.ask(request, start);
     const auto decisions = group.takeDecisions();
     CHECK(only<slot_grant>(decisions).size() == 1);
     REQUIRE(only<slot_refusal>(decisions).size() == 1);
@@ -198,48 +198,48 @@
     CHECK(expired[0].slotRequestId == 2);
 }
 
-TEST_CASE("draining and leaving targets get nothing new")
+TEST_CASE("targets that are draining or shutting down get no new requests")
 {
     auto group = makeGroup(adaptive_bulk {}, 2, 4);
     group.report("t0", { 0, 0, 4, 0, true }, start);
     for (std::uint64_t id = 1; id <= 4; ++id)
-        group.ask(makeAsk(id), start);
+        group.ask(makeRequest(id), start);
     for (const auto& given : only<slot_grant>(group.takeDecisions()))
         CHECK(given.target == "t1");
     const std::vector<target_description> drained { { "t0", "127.0.0.1:7000", 4, true },
         { "t1", "127.0.0.1:7001", 4, true } };
     group.setTargets(drained, start);
-    group.ask(makeAsk(5), start);
+    group.ask(makeRequest(5), start);
     const auto refused = only<slot_refusal>(group.takeDecisions());
     REQUIRE(refused.size() == 1);
     CHECK(refused[0].reason.kind == failure_kind::unavailable);
 }
 
-TEST_CASE("a target that refuses is left alone until its next report")
+TEST_CASE("a target that refused a request gets no others until its next report")
 {
     auto group = makeGroup(adaptive_bulk {}, 2, 4);
-    group.ask(makeAsk(1), start);
+    group.ask(makeRequest(1), start);
     const auto first = only<slot_grant>(group.takeDecisions())[0];
     group.release({ first.grantId, grant_outcome::refused, 0ms, 0 }, start);
     for (std::uint64_t id = 2; id <= 5; ++id)
-        group.ask(makeAsk(id), start);
+        group.ask(makeRequest(id), start);
     for (const auto& given : only<slot_grant>(group.takeDecisions()))
         CHECK(given.target != first.target);
     group.report(first.target, { 0, 0, 4, 0, false }, start + 1s);
-    group.ask(makeAsk(6), start + 1s);
+    group.ask(makeRequest(6), start + 1s);
     CHECK(only<slot_grant>(group.takeDecisions())[0].target == first.target);
 }
 
-TEST_CASE("a shared prefix goes where it was cached, until that target is much fuller")
+TEST_CASE("requests with a shared prefix go to the target that cached it, unless its load is much higher")
 {
     auto group = makeGroup(adaptive_bulk {}, 4, 4);
     const auto prefixes = prefixHashes(std::string(1000, 'x'));
     CHECK(prefixes.size() == 15);
     std::vector<std::string> targets;
     for (std::uint64_t id = 1; id <= 4; ++id) {
-        auto ask = makeAsk(id);
-        ask.prefixes = prefixes;
-        group.ask(ask, start);
+        auto request = makeRequest(id);
+        request.prefixes = prefixes;
+        group.ask(request, start);
         targets.push_back(only<slot_grant>(group.takeDecisions())[0].target);
     }
     CHECK(targets[0] == targets[1]);
@@ -247,51 +247,50 @@
     CHECK(targets[3] != targets[2]);
 }
 
-TEST_CASE("work that came past the dispatcher takes slots, by the target's own report")
+TEST_CASE("work that the dispatcher did not send takes slots according to the target's report")
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 4);
     group.report("t0", { 3, 0, 4, 0, false }, start);
     for (std::uint64_t id = 1; id <= 4; ++id)
-        group.ask(makeAsk(id), start);
+        group.ask(makeRequest(id), start);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
     group.report("t0", { 1, 0, 4, 0, false }, start + 100ms);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 3);
 }
 
-// Story: a target that has just finished eight requests is reported with eight running, because its report
-// lags. They are taken for somebody else's, its slots stay empty until the next report, and callers queue
-// meanwhile.
-TEST_CASE("own requests that ended before a lagging report are not taken for others'")
+// Guards against slots that stay empty while callers wait: a lagging report counts requests that have just
+// finished as running, and they were taken for work of others until the next report.
+TEST_CASE("own requests that finished before a lagging report do not count as work of others")
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 4);
     for (std::uint64_t id = 1; id <= 4; ++id)
-        group.ask(makeAsk(id), start);
+        group.ask(makeRequest(id), start);
     for (const auto& given : only<slot_grant>(group.takeDecisions()))
         group.release({ given.grantId, grant_outcome::ok, 1ms, 1 }, start + 500ms);
     group.report("t0", { 4, 0, 4, 0, false }, start + 600ms);
     for (std::uint64_t id = 5; id <= 8; ++id)
-        group.ask(makeAsk(id), start + 600ms);
+        group.ask(makeRequest(id), start + 600ms);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 4);
     for (std::uint64_t id = 9; id <= 12; ++id)
-        group.ask(makeAsk(id), start + 600ms);
+        group.ask(makeRequest(id), start + 600ms);
     CHECK(only<slot_grant>(group.takeDecisions()).empty());
-    // Long after, the same report can only mean others' work.
+    // Without recent own grants the same report can only mean work of others.
     auto later = makeGroup(adaptive_bulk {}, 1, 4);
     later.report("t0", { 4, 0, 4, 0, false }, start + 10s);
-    later.ask(makeAsk(1), start + 10s);
+    later.ask(makeRequest(1), start + 10s);
     CHECK(only<slot_grant>(later.takeDecisions()).empty());
 }
 
-// Story: bulk items that run for a minute are forgotten after the few seconds for which they were willing to
-// wait; their slots are given away again, and live requests queue at the engine behind both.
-TEST_CASE("a grant is held for as long as its request may run, not as long as it would have waited")
+// Guards against grants that expire with the deadline of their slot request while the bulk items run for a
+// minute: their slots were granted again, and live requests queued at the engine behind both.
+TEST_CASE("a grant expires after the maximum run time of its request, not at the deadline for the grant")
 {
     auto group = makeGroup(fixed_bulk { 2 }, 1, 2);
     for (std::uint64_t id = 1; id <= 2; ++id) {
-        auto ask = makeAsk(id, work_class::bulk);
-        ask.deadline = start + 5s;
-        ask.hold = 600s;
-        group.ask(ask, start);
+        auto request = makeRequest(id, work_class::bulk);
+        request.deadline = start + 5s;
+        request.hold = 600s;
+        group.ask(request, start);
     }
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 2);
     group.tick(start + 60s);
@@ -300,15 +299,14 @@
     CHECK(group.summary(start + 603s).bulk == 0);
 }
 
-// Story: an entry dies with grants out and never releases them; the places it held are lost for ever and the
-// group shrinks with each death until nothing is served.
-TEST_CASE("the grants of a lost holder lapse")
+// Guards against slots that are lost for good because an entry has crashed without releasing its grants.
+TEST_CASE("the grants of a lost holder expire")
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 2);
-    group.ask(makeAsk(1), start);
-    group.ask(makeAsk(2), start);
+    group.ask(makeRequest(1), start);
+    group.ask(makeRequest(2), start);
     group.dropHolder(1, start);
-    auto other = makeAsk(3);
+    auto other = makeRequest(3);
     other.holder = 2;
     group.takeDecisions();
     group.ask(other, start);
@@ -317,7 +315,7 @@
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
-TEST_CASE("budgets refill by rate and share")
+TEST_CASE("the rate budget refills over time and the retry budget with requests")
 {
     rate_budget rate;
     CHECK(rate.take(10, 10, start) == 0ms);
@@ -334,18 +332,18 @@
     CHECK(granted <= 15);
 }
 
-// Story: an entry asks its own zone for a place at once, to look in another zone if there is none. Each such
-// ask was refused, because its deadline had passed by the time that it was looked at: requests went from zone
+// Guards against immediate requests that are refused because their deadline has passed when they are
+// processed. An entry sends one to its own zone before it tries other zones: requests were passed from zone
 // to zone and ended in a queue although slots were free.
-TEST_CASE("an ask that wants a place at once gets a free one, or a refusal in the same step")
+TEST_CASE("an immediate request gets a free slot, or a refusal in the same step")
 {
     auto group = makeGroup(adaptive_bulk {}, 1, 1);
-    auto first = makeAsk(1);
+    auto first = makeRequest(1);
     first.immediate = true;
     first.deadline = start;
     group.ask(first, start + 5ms);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
-    auto second = makeAsk(2);
+    auto second = makeRequest(2);
     second.immediate = true;
     group.ask(second, start + 6ms);
     const auto refused = only<slot_refusal>(group.takeDecisions());
@@ -354,10 +352,9 @@
     CHECK(group.summary(start + 6ms).liveWaiting == 0);
 }
 
-// Story: a third of the slots stood empty while batch items waited and were listed late, because bulk work
-// was held back for live requests that could have taken its places in milliseconds. Played: one target with
-// eight slots, forty live requests a second of 0.1 s each in bursts, items without end.
-TEST_CASE("spare bulk fills every slot, and live requests still find a place at once")
+// Guards against bulk work that leaves slots empty for live requests, which could have revoked it within
+// milliseconds: a third of the slots was empty while batch items waited and were finished late.
+TEST_CASE("spare bulk work fills every slot, and live requests still get one at once")
 {
     group_options options;
     options.policy = spare_bulk {};
@@ -366,11 +363,11 @@
     const std::vector<target_description> targets { { "t", "a", 8, false } };
     group.setTargets(targets, start);
     for (std::uint64_t id = 1; id <= 10; ++id)
-        group.ask(makeAsk(id, work_class::bulk), start);
+        group.ask(makeRequest(id, work_class::bulk), start);
     CHECK(group.summary(start).bulk == 8);
     group.takeDecisions();
     for (std::uint64_t id = 100; id < 104; ++id) {
-        auto live = makeAsk(id);
+        auto live = makeRequest(id);
         live.immediate = true;
         group.ask(live, start + 10ms);
         const auto decisions = group.takeDecisions();
@@ -380,7 +377,7 @@
     CHECK(group.summary(start).live == 4);
 }
 
-TEST_CASE("of spare bulk the items that can wait longest are asked back first, overdue ones before them")
+TEST_CASE("of spare bulk work, overdue items are revoked first, then those due last")
 {
     group_options options;
     options.policy = spare_bulk {};
@@ -388,30 +385,31 @@
     target_group group(options);
     const std::vector<target_description> targets { { "t", "a", 3, false } };
     group.setTargets(targets, start);
-    std::map<std::uint64_t, std::uint64_t> askOfGrant;
+    std::map<std::uint64_t, std::uint64_t> requestIdByGrant;
     for (const auto& [id, due] : { std::pair(1, 20s), std::pair(2, -1s), std::pair(3, 9s) }) {
-        auto ask = makeAsk(static_cast<std::uint64_t>(id), work_class::bulk);
-        ask.due = start + due;
-        group.ask(ask, start);
+        auto request = makeRequest(static_cast<std::uint64_t>(id), work_class::bulk);
+        request.due = start + due;
+        group.ask(request, start);
     }
     for (const auto& given : only<slot_grant>(group.takeDecisions()))
-        askOfGrant[given.grantId] = given.slotRequestId;
+        requestIdByGrant[given.grantId] = given.slotRequestId;
     std::vector<std::uint64_t> order;
     for (std::uint64_t id = 100; id < 103; ++id) {
-        group.ask(makeAsk(id), start + 1ms);
+        group.ask(makeRequest(id), start + 1ms);
         for (const auto& revoked : only<grant_revocation>(group.takeDecisions()))
-            order.push_back(askOfGrant.at(revoked.grantId));
+            order.push_back(requestIdByGrant.at(revoked.grantId));
     }
     CHECK(order == std::vector<std::uint64_t> { 2, 1, 3 });
 }
 
-TEST_CASE("waiting items go by their due time, overdue ones last")
+TEST_CASE("waiting items are ordered by due time, overdue ones last")
 {
     fair_queue queue(fair_queue::order::due);
     for (const auto& [id, due] : { std::pair(1, 20s), std::pair(2, -1s), std::pair(3, 9s) }) {
-        auto ask = makeAsk(static_cast<std::uint64_t>(id), work_class::bulk, id == 3 ? "one" : "other");
-        ask.due = start + due;
-        queue.push(ask, start);
+        auto request
+            = makeRequest(static_cast<std::uint64_t>(id), work_class::bulk, id == 3 ? "one" : "other");
+        request.due = start + due;
+        queue.push(request, start);
     }
     CHECK(queue.pop().first.id == 3);
     CHECK(queue.pop().first.id == 1);
@@ -435,12 +433,12 @@
     return group;
 }
 
-slot_request namedAsk(std::uint64_t id, bool immediate = false)
+slot_request namedRequest(std::uint64_t id, bool immediate = false)
 {
-    auto ask = makeAsk(id);
-    ask.requestId = "r" + std::to_string(id);
-    ask.immediate = immediate;
-    return ask;
+    auto request = makeRequest(id);
+    request.requestId = "r" + std::to_string(id);
+    request.immediate = immediate;
+    return request;
 }
 
 load_report runningReport(std::vector<std::string> runs, unsigned queued = 0)
@@ -454,47 +452,47 @@
 
 } // namespace
 
-// Story: a dispatcher dies while its targets are full of items. Its successor took them for empty and gave
-// live requests places at once: they stood in the targets' own queues, with first events after half a second.
-TEST_CASE("a new dispatcher counts its targets as full until they have told what they run")
+// Guards against a new dispatcher that takes its targets for idle while they are full of items granted by its
+// crashed predecessor: live requests got grants at once but waited half a second in the targets' own queues.
+TEST_CASE("a new dispatcher counts its targets as full until they have reported what they run")
 {
     auto group = makeReportingGroup(2, 2);
-    group.ask(namedAsk(1), start);
+    group.ask(namedRequest(1), start);
     CHECK(group.takeDecisions().empty());
     REQUIRE(group.reportsDue(start).size() == 2);
-    CHECK(group.reportsDue(start + 10ms).empty()); // Each is asked once until it answers.
+    CHECK(group.reportsDue(start + 10ms).empty()); // Each is polled once until it answers.
     group.report("t0", runningReport({ "x", "y" }), start + 5ms);
     CHECK(group.takeDecisions().empty());
     group.report("t1", runningReport({ "z" }), start + 6ms);
     const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 1);
     CHECK(given[0].target == "t1");
-    // The work of others is looked at again soon, and its places are used as they come free.
-    group.ask(namedAsk(2), start + 10ms);
+    // Targets with work of others are polled again soon, and slots are used as they become free.
+    group.ask(namedRequest(2), start + 10ms);
     CHECK(group.takeDecisions().empty());
     CHECK(group.reportsDue(start + 110ms).size() == 2);
     group.report("t0", runningReport({ "x" }), start + 115ms);
     REQUIRE(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
-// Story: the first callers of a new dispatcher were refused at once, on an idle fleet: until the first
-// reports its targets count as full, and a fleet without a free slot had no expected end of the wait.
-TEST_CASE("the first callers of a new dispatcher wait for the first reports instead of being refused")
+// Guards against refusals by a new dispatcher of an idle fleet: its targets count as full until their first
+// reports, and without a free slot there was no estimate of the wait.
+TEST_CASE("the first requests to a new dispatcher wait for the first reports instead of being refused")
 {
     auto group = makeReportingGroup(2, 2);
-    auto ask = namedAsk(1);
-    ask.deadline = start + 250ms;
-    group.ask(ask, start);
+    auto request = namedRequest(1);
+    request.deadline = start + 250ms;
+    group.ask(request, start);
     CHECK(group.takeDecisions().empty());
     group.reportsDue(start);
     group.report("t0", runningReport({}), start + 5ms);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
-TEST_CASE("a target that cannot tell its load is used after a moment")
+TEST_CASE("a target that does not report its load is used after a short time")
 {
     auto group = makeReportingGroup(1, 2);
-    group.ask(namedAsk(1), start);
+    group.ask(namedRequest(1), start);
     group.reportsDue(start);
     group.recordMissedReport("t0", start + 100ms);
     CHECK(group.takeDecisions().empty());
@@ -502,20 +500,20 @@
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
-// Story: a zone is cut off for five seconds. The holders of its items close their connections, but the
-// targets do not hear of it and work on to the end; the dispatcher had counted those places as free two
-// seconds later.
-TEST_CASE("runs whose holder has gone hold their places for as long as the target works on them")
+// Guards against slots that are counted as free while their requests still run: during a network partition of
+// five seconds the holders closed their connections, but the targets did not notice and ran the items to the
+// end. The dispatcher had counted the slots as free after two seconds.
+TEST_CASE("requests whose holder is lost occupy their slots for as long as the target runs them")
 {
     auto group = makeReportingGroup(1, 2);
     group.reportsDue(start);
     group.report("t0", runningReport({}), start);
-    group.ask(namedAsk(1), start);
-    group.ask(namedAsk(2), start);
+    group.ask(namedRequest(1), start);
+    group.ask(namedRequest(2), start);
     REQUIRE(only<slot_grant>(group.takeDecisions()).size() == 2);
     group.dropHolder(1, start + 100ms);
-    group.tick(start + 2200ms); // The grants have lapsed.
-    auto late = namedAsk(3);
+    group.tick(start + 2200ms); // The grants have expired.
+    auto late = namedRequest(3);
     late.holder = 2;
     late.deadline = start + 30s;
     group.report("t0", runningReport({ "r1", "r2" }), start + 3000ms);
@@ -525,53 +523,53 @@
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
 }
 
-TEST_CASE("own requests in a report, running, waiting or just ended, are not the work of others")
+TEST_CASE("own requests in a report, running, queued or just finished, do not count as work of others")
 {
     auto group = makeReportingGroup(1, 4);
     group.reportsDue(start);
     group.report("t0", runningReport({}), start);
-    group.ask(namedAsk(1), start);
-    group.ask(namedAsk(2), start);
-    group.ask(namedAsk(3), start);
+    group.ask(namedRequest(1), start);
+    group.ask(namedRequest(2), start);
+    group.ask(namedRequest(3), start);
     const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 3);
     group.release({ given[0].grantId, grant_outcome::ok, 5ms, 3 }, start + 500ms);
-    // The report is a little old: r1 still runs in it, r3 waits.
+    // The report lags: r1 is still running in it, and r3 is queued.
     group.report("t0", runningReport({ "r1", "r2" }, 1), start + 520ms);
-    group.ask(namedAsk(4), start + 530ms);
-    group.ask(namedAsk(5), start + 530ms);
+    group.ask(namedRequest(4), start + 530ms);
+    group.ask(namedRequest(5), start + 530ms);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 2);
 }
 
-// Story: a target goes dark. Each request that may not run twice was sent to it until its own deadline, 5 s
-// later, told that it had failed.
-TEST_CASE("a target that misses two reports gets nothing until it answers, unless none answers")
+// Guards against requests to an unresponsive target: one that must not run twice failed only at its own
+// deadline, 5 s later.
+TEST_CASE("a target that misses two reports gets no requests until it answers, unless no target answers")
 {
     auto group = makeReportingGroup(2, 4);
     for (const auto* name : { "t0", "t1" })
         group.report(name, runningReport({}), start);
-    group.ask(namedAsk(1), start);
+    group.ask(namedRequest(1), start);
     group.takeDecisions();
     group.recordMissedReport("t0", start + 250ms);
     group.recordMissedReport("t0", start + 600ms);
     for (std::uint64_t id = 2; id <= 5; ++id)
-        group.ask(namedAsk(id, true), start + 610ms);
+        group.ask(namedRequest(id, true), start + 610ms);
     for (const auto& given : only<slot_grant>(group.takeDecisions()))
         CHECK(given.target == "t1");
     group.recordMissedReport("t1", start + 700ms);
     group.recordMissedReport("t1", start + 1000ms);
-    group.ask(namedAsk(6), start + 1010ms);
+    group.ask(namedRequest(6), start + 1010ms);
     CHECK(only<slot_grant>(group.takeDecisions()).size() == 1);
     group.report("t0", runningReport({}), start + 1100ms);
-    group.ask(namedAsk(7), start + 1110ms);
+    group.ask(namedRequest(7), start + 1110ms);
     const auto given = only<slot_grant>(group.takeDecisions());
     REQUIRE(given.size() == 1);
     CHECK(given[0].target == "t0");
 }
 
-// Story: live requests come at half again the rate that the targets can serve. The queue grew until its
-// expected wait was what a request may wait; half of those that joined were refused at the end of their wait,
-// when they could not come back in time any more.
+// Guards against a queue that grows until the expected wait equals the time that a request may wait. With
+// live requests at 1.5 times the rate that the targets can serve, half of the waiting requests were refused
+// at the end of their wait, too late for a retry in time.
 TEST_CASE("under overload a request that would probably wait too long is refused on arrival")
 {
     group_options options;
@@ -580,20 +578,20 @@
     target_group group(options);
     const std::vector<target_description> targets { { "t", "a", 10, false } };
     group.setTargets(targets, start);
-    // Requests take a second: a place comes free every 100 ms.
+    // Requests take a second: a slot becomes free every 100 ms.
     for (std::uint64_t id = 1; id <= 10; ++id)
-        group.ask(makeAsk(id), start);
+        group.ask(makeRequest(id), start);
     for (const auto& given : only<slot_grant>(group.takeDecisions()))
         group.release({ given.grantId, grant_outcome::ok, 30ms, 0 }, start + 1s);
     for (std::uint64_t id = 11; id <= 20; ++id)
-        group.ask(makeAsk(id), start + 1s);
+        group.ask(makeRequest(id), start + 1s);
     group.takeDecisions();
     for (std::uint64_t id = 21; id <= 24; ++id) {
-        auto ask = makeAsk(id);
-        ask.deadline = start + 1250ms;
-        group.ask(ask, start + 1s);
+        auto request = makeRequest(id);
+        request.deadline = start + 1250ms;
+        group.ask(request, start + 1s);
     }
-    // Those with 0, 1 and 2 ahead: 1.7 times 200 ms would be too long for the third.
+    // The third request has two ahead of it: 1.7 times 200 ms exceeds its 250 ms.
     const auto refused = only<slot_refusal>(group.takeDecisions());
     REQUIRE(refused.size() == 2);
     CHECK(refused[0].slotRequestId == 23);
@@ -601,29 +599,29 @@
     CHECK(refused[0].reason.retryAfter >= 200ms);
 }
 
-// Story: overload comes in spells of three seconds. Refused callers were told to return after a second, met
-// the next refusal in the same spell, and had no retry left.
-TEST_CASE("refused callers are told to return after the spell of overload, as long as the last ones were")
+// Guards against a fixed retry delay of one second while overload lasts about three seconds at a time: the
+// retries of refused callers were refused in the same period of overload, and no retry was left.
+TEST_CASE("the retry delay of refused callers follows the length of recent periods of overload")
 {
-    overload_spells spells;
+    overload_periods periods;
     auto now = start;
-    const auto spell = [&](milliseconds length) {
+    const auto overloadFor = [&](milliseconds length) {
         for (auto end = now + length; now < end; now += 20ms)
-            spells.refused(now);
+            periods.recordRefusal(now);
         now += 4s;
     };
     for (int i = 0; i < 12; ++i)
-        spell(3000ms);
-    spells.refused(now);
-    const auto atBegin = spells.returnAfter(now);
+        overloadFor(3000ms);
+    periods.recordRefusal(now);
+    const auto atBegin = periods.retryDelay(now);
     CHECK(atBegin > 2800ms);
     CHECK(atBegin < 3600ms);
-    // Few refusals now and then are no spells that callers would meet.
+    // Single refusals have little weight.
     for (int i = 0; i < 5; ++i)
-        spells.refused(now += 1s);
-    CHECK(spells.returnAfter(now += 1s) > 2000ms);
-    // A spell that lasts longer than the others is expected to last as long again.
+        periods.recordRefusal(now += 1s);
+    CHECK(periods.retryDelay(now += 1s) > 2000ms);
+    // If the current period is longer than the mean, its own length so far is the retry delay.
     for (int i = 0; i < 300; ++i)
-        spells.refused(now += 20ms);
-    CHECK(spells.returnAfter(now) >= 6000ms);
+        periods.recordRefusal(now += 20ms);
+    CHECK(periods.retryDelay(now) >= 6000ms);
 }
--- a/libs/dispatch/tests/test_fairness.cpp
+++ b/libs/dispatch/tests/test_fairness.cpp
@@ -9,30 +9,30 @@
 
 const steady_time start = steady_time {} + 1h;
 
-slot_request askOf(std::string customer, std::uint64_t id, double weight = 1)
+slot_request makeRequest(std::string customer, std::uint64_t id, double weight = 1)
 {
-    slot_request ask;
-    ask.id = id;
-    ask.customer = std::move(customer);
-    ask.weight = weight;
-    ask.deadline = start + 1h;
-    return ask;
+    slot_request request;
+    request.id = id;
+    request.customer = std::move(customer);
+    request.weight = weight;
+    request.deadline = start + 1h;
+    return request;
 }
 
 } // namespace
 
-// Story: the largest customer sends a thousand requests at once; a small one sends a single request just
-// after, and waits behind all of them.
-TEST_CASE("a small customer does not wait behind a large one's backlog")
+// Guards against a queue in arrival order, where a single request of a small customer waits behind a thousand
+// requests that a large customer has just sent.
+TEST_CASE("a request of a small customer does not wait behind the backlog of a large one")
 {
     fair_queue fair;
     fair_queue arrival(fair_queue::order::arrival);
     for (auto* queue : { &fair, &arrival }) {
         for (std::uint64_t id = 0; id < 1000; ++id)
-            queue->push(askOf("large", id), start);
+            queue->push(makeRequest("large", id), start);
         for (int i = 0; i < 10; ++i)
             queue->pop();
-        queue->push(askOf("small", 5000), start);
+        queue->push(makeRequest("small", 5000), start);
     }
     const auto positionOfSmall = [](fair_queue& queue) {
         int position = 0;
@@ -44,12 +44,12 @@
     CHECK(positionOfSmall(arrival) == 990);
 }
 
-TEST_CASE("shares follow weights under backlog, and idle capacity goes to whoever asks")
+TEST_CASE("customers with a backlog are served in proportion to their weights")
 {
     fair_queue queue;
     for (std::uint64_t id = 0; id < 400; ++id) {
-        queue.push(askOf("a", id, 3), start);
-        queue.push(askOf("b", id, 1), start);
+        queue.push(makeRequest("a", id, 3), start);
+        queue.push(makeRequest("b", id, 1), start);
     }
     int a = 0;
     for (int i = 0; i < 200; ++i)
@@ -60,17 +60,17 @@
     CHECK(queue.sizeOf("b") == 400u - (200u - static_cast<unsigned>(a)));
 }
 
-// Story: a customer that was idle for an hour comes back and is given all capacity until it has caught up
-// with what it did not use.
-TEST_CASE("an idle customer saves up no credit")
+// Guards against a customer that gets all capacity after an idle time, until it has caught up with the share
+// that it did not use.
+TEST_CASE("an idle customer accumulates no credit")
 {
     fair_queue queue;
     for (std::uint64_t id = 0; id < 1000; ++id)
-        queue.push(askOf("busy", id), start);
+        queue.push(makeRequest("busy", id), start);
     for (int i = 0; i < 500; ++i)
         queue.pop();
     for (std::uint64_t id = 0; id < 100; ++id)
-        queue.push(askOf("back", id), start);
+        queue.push(makeRequest("back", id), start);
     int back = 0;
     for (int i = 0; i < 100; ++i)
         back += queue.pop().first.customer == "back";
@@ -78,14 +78,14 @@
     CHECK(back <= 51);
 }
 
-TEST_CASE("asks can be withdrawn, expire and go with their holder")
+TEST_CASE("requests can be withdrawn, expire, and are removed with their holder")
 {
     fair_queue queue;
     for (std::uint64_t id = 0; id < 5; ++id) {
-        auto ask = askOf("a", id);
-        ask.holder = id % 2;
-        ask.deadline = start + std::chrono::seconds(id);
-        queue.push(ask, start);
+        auto request = makeRequest("a", id);
+        request.holder = id % 2;
+        request.deadline = start + std::chrono::seconds(id);
+        queue.push(request, start);
     }
     CHECK(queue.remove(0, 4));
     CHECK(!queue.remove(0, 4));
--- a/libs/dispatch/tests/test_working_set.cpp
+++ b/libs/dispatch/tests/test_working_set.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned slotsOfTarget = 7;
 constexpr milliseconds step { 10 };
 
-group_options askingForReports()
+group_options pollingOptions()
 {
     group_options options;
     options.policy = spare_bulk {};
@@ -28,18 +28,18 @@
     return all;
 }
 
-/// A group whose targets answer each question for their load at once, unless they are dark.
-struct played_group {
-    explicit played_group(std::size_t count)
+/// A group whose targets answer each load poll at once, unless they are unresponsive.
+struct simulated_group {
+    explicit simulated_group(std::size_t count)
         : all(targets(count))
     {
         group.setTargets(all, now);
     }
 
-    /// The first request finds no target that has reported yet.
+    /// Lets the targets report once: the first request finds none that has.
     void begin()
     {
-        ask(1);
+        requestSlots(1);
         run(milliseconds { 200 });
         refused = 0;
     }
@@ -53,27 +53,27 @@
         group.tick(now);
         for (const auto& due : group.reportsDue(now)) {
             ++reports;
-            asked.insert(due.target);
-            if (dark)
+            polled.insert(due.target);
+            if (unresponsive)
                 group.recordMissedReport(due.target, now);
             else
                 group.report(due.target, reportOf(due.target), now);
         }
-        take();
+        processDecisions();
     }
     load_report reportOf(const std::string& target) const
     {
         load_report report;
         report.slots = slotsOfTarget;
         report.runs.emplace();
-        for (const auto& [id, place] : held) {
-            if (place.target == target)
-                report.runs->push_back(std::to_string(place.slotRequestId));
+        for (const auto& [id, grant] : held) {
+            if (grant.target == target)
+                report.runs->push_back(std::to_string(grant.slotRequestId));
         }
         report.running = static_cast<unsigned>(report.runs->size());
         return report;
     }
-    void take()
+    void processDecisions()
     {
         for (const auto& one : group.takeDecisions()) {
             if (const auto* given = std::get_if<slot_grant>(&one))
@@ -82,44 +82,44 @@
                 ++refused;
         }
     }
-    /// Asks for places that are wanted at once or not at all.
-    void ask(std::size_t count)
+    /// Requests slots that are granted or refused at once.
+    void requestSlots(std::size_t count)
     {
         for (std::size_t i = 0; i < count; ++i) {
-            slot_request ask;
-            ask.id = ++lastAsk;
-            ask.requestId = std::to_string(ask.id);
-            ask.immediate = true;
-            ask.hold = milliseconds { 600000 };
-            group.ask(ask, now);
+            slot_request request;
+            request.id = ++lastId;
+            request.requestId = std::to_string(request.id);
+            request.immediate = true;
+            request.hold = milliseconds { 600000 };
+            group.ask(request, now);
         }
-        take();
+        processDecisions();
     }
     void releaseAll()
     {
-        for (const auto& [id, place] : held)
+        for (const auto& [id, grant] : held)
             group.release({ id, grant_outcome::ok, milliseconds { 1 }, 0 }, now);
         held.clear();
     }
 
     steady_time now { std::chrono::seconds { 1000 } };
     std::vector<target_description> all;
-    target_group group { askingForReports() };
+    target_group group { pollingOptions() };
     std::map<std::uint64_t, slot_grant> held;
-    std::set<std::string> asked;
+    std::set<std::string> polled;
     std::size_t reports = 0;
     std::size_t refused = 0;
-    std::uint64_t lastAsk = 0;
-    bool dark = false;
+    std::uint64_t lastId = 0;
+    bool unresponsive = false;
 };
 
-/// Questions for load in three seconds under a load of so many requests at once.
+/// Number of load polls in three seconds with `load` concurrent requests on `count` targets.
 std::size_t reportsUnder(std::size_t load, std::size_t count)
 {
-    played_group f(count);
+    simulated_group f(count);
     f.begin();
     for (int i = 0; i < 3; ++i) {
-        f.ask(load);
+        f.requestSlots(load);
         f.run(milliseconds { 1000 });
         f.releaseAll();
     }
@@ -128,8 +128,8 @@
 
 } // namespace
 
-// Guards against a dispatcher that asks each target of its zone for its load, however little it has to do.
-TEST_CASE("a dispatcher's questions follow its load and not the number of targets")
+// Guards against a dispatcher that polls all targets of its zone even under a small load.
+TEST_CASE("the number of load polls depends on the load and not on the number of targets")
 {
     const auto few = reportsUnder(40, 500);
     CHECK(reportsUnder(40, 1000) == few);
@@ -137,82 +137,83 @@
     CHECK(reportsUnder(400, 2000) > few);
 }
 
-// Guards against requests that wait, or go to another zone, because too few targets are in use at a peak.
-TEST_CASE("a load that doubles at once finds places at once")
+// Guards against requests that wait or are sent to another zone because too few targets are in use at a load
+// peak.
+TEST_CASE("all requests of a load that doubles suddenly get slots at once")
 {
-    played_group f(2000);
+    simulated_group f(2000);
     f.begin();
     for (std::size_t load = 60; load <= 960; load *= 2) {
-        f.ask(load - f.held.size());
+        f.requestSlots(load - f.held.size());
         CHECK(f.held.size() == load);
         f.run(milliseconds { 200 });
     }
     CHECK(f.refused == 0);
 }
 
-// Guards against requests that find no place when a tenth of the targets goes, and are in use no more.
-TEST_CASE("the loss of a tenth of the targets costs nobody his place")
+// Guards against refused requests after a tenth of the targets in use has been removed.
+TEST_CASE("no request is refused after the loss of a tenth of the targets")
 {
-    played_group f(1000);
+    simulated_group f(1000);
     f.begin();
-    f.ask(150);
+    f.requestSlots(150);
     f.run(milliseconds { 200 });
     f.releaseAll();
-    std::vector<std::string> gone;
-    for (const auto& target : f.asked) {
-        if (gone.size() < f.asked.size() / 10 + 1)
-            gone.push_back(target);
+    std::vector<std::string> removed;
+    for (const auto& target : f.polled) {
+        if (removed.size() < f.polled.size() / 10 + 1)
+            removed.push_back(target);
     }
-    f.group.changeTargets({}, gone, f.now);
-    f.ask(150);
+    f.group.changeTargets({}, removed, f.now);
+    f.requestSlots(150);
     CHECK(f.refused == 0);
     CHECK(f.held.size() == 150);
 }
 
-// Guards against a successor that uses other targets than the former dispatcher and sees nothing of its work.
-TEST_CASE("dispatchers use the same targets whichever way they have learnt of them")
+// Guards against a new dispatcher that uses other targets than the previous one and so does not learn which
+// requests still run on those.
+TEST_CASE("dispatchers use the same targets in whichever order they learn of them")
 {
-    played_group whole(300);
-    played_group inTurn(0);
+    simulated_group whole(300);
+    simulated_group incremental(0);
     auto reversed = whole.all;
     std::reverse(reversed.begin(), reversed.end());
     for (const auto& target : reversed)
-        inTurn.group.changeTargets(std::span(&target, 1), {}, inTurn.now);
-    for (auto* f : { &whole, &inTurn }) {
-        f->ask(40);
+        incremental.group.changeTargets(std::span(&target, 1), {}, incremental.now);
+    for (auto* f : { &whole, &incremental }) {
+        f->requestSlots(40);
         f->run(milliseconds { 100 });
         f->releaseAll();
         f->run(milliseconds { 13000 });
-        f->asked.clear();
-        f->ask(1);
+        f->polled.clear();
+        f->requestSlots(1);
         f->run(milliseconds { 1000 });
     }
-    CHECK(whole.asked == inTurn.asked);
+    CHECK(whole.polled == incremental.polled);
 }
 
-// Guards against a set of targets in use that a single peak makes large for good.
-TEST_CASE("targets that a peak has needed rest some seconds after it")
+// Guards against a working set that stays large after a single load peak.
+TEST_CASE("targets that were activated for a load peak are deactivated some seconds after it")
 {
-    played_group f(2000);
+    simulated_group f(2000);
     f.begin();
     for (std::size_t load = 60; load <= 960; load *= 2) {
-        f.ask(load - f.held.size());
+        f.requestSlots(load - f.held.size());
         f.run(milliseconds { 200 });
     }
     f.releaseAll();
     f.run(milliseconds { 13000 });
-    CHECK(f.group.summary(f.now).usableTargets == askingForReports().leastTargets);
+    CHECK(f.group.summary(f.now).usableTargets == pollingOptions().minTargets);
     CHECK(f.group.summary(f.now).targets == 2000);
 }
 
-// Guards against a dispatcher that is cut off from its targets and connects to all of them, one after the
-// other.
-TEST_CASE("a dispatcher that hears of no target does not take all into use")
+// Guards against a dispatcher that has lost the network to its targets and activates all of them one by one.
+TEST_CASE("a dispatcher whose targets do not answer does not activate all of them")
 {
-    played_group f(2000);
+    simulated_group f(2000);
     f.begin();
-    f.ask(40);
-    f.dark = true;
+    f.requestSlots(40);
+    f.unresponsive = true;
     f.run(milliseconds { 1500 });
-    CHECK(f.asked.size() < 100);
+    CHECK(f.polled.size() < 100);
 }
