--- a/libs/quarantine/include/quarantine/quarantine.h
+++ b/libs/quarantine/include/quarantine/quarantine.h
@@ -11,12 +11,12 @@
 #include <string_view>
 #include <vector>
 
-/// Requests that end the targets which run them, known by what they ask for. Layer: coordination. Pure
-/// decisions: no I/O, no clock, not thread-safe.
+/// Detection of requests that crash the targets which run them. Requests are identified by their content.
+/// Layer: coordination. Pure decision logic without I/O or a clock of its own; not thread-safe.
 namespace yuccachute {
 
-/// What a request asks for, whatever its id: requests with the same identity do the same to a target. Wide
-/// enough that two callers' requests never share one.
+/// Hash of the content of a request, independent of its id: requests with the same identity have the same
+/// effect on a target. At 128 bits collisions between different requests are not expected.
 struct request_identity {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -33,63 +33,66 @@
 
 /// 32 hexadecimal digits.
 std::string toString(const request_identity& identity);
-/// Nothing if the text is not what toString() writes.
+/// No value if the text is not in the format of toString().
 std::optional<request_identity> parseIdentity(std::string_view text);
 
-/// What is known against a request.
+/// Evidence against a request.
 ///
-/// A strike is the end of a target under a run that was sent when all earlier strikes were known. So runs
-/// that end together, as under one rack, are one strike, however many callers sent the request at once: a
-/// popular request does not look guilty because it runs everywhere. A whole answer proves that the request
-/// does not end its targets: it acquits, and strikes of runs that were sent before count no more.
+/// A strike is the termination of a target during a run that was sent when all earlier strikes were known.
+/// Targets that terminate together, as in the failure of a rack, therefore count as one strike, however many
+/// copies of the request they ran: a request that runs on many targets is not suspected for that alone. A
+/// complete answer proves that the request does not crash its targets. It is recorded as an acquittal, which
+/// resets the strikes, and runs that were sent before it can add none.
 struct strike_record {
     std::uint32_t acquittals = 0;
     std::uint32_t strikes = 0; ///< Since the last acquittal.
 
     bool operator==(const strike_record&) const = default;
-    /// Of two records of a request the later one counts.
+    /// Of two records of the same request, the superseding one is kept.
     bool supersedes(const strike_record& other) const
     {
         return acquittals != other.acquittals ? acquittals > other.acquittals : strikes > other.strikes;
     }
 };
 
-/// A record as processes tell it to each other.
+/// The strike record of a request as sent between processes.
 struct suspect_report {
     request_identity identity;
     strike_record record;
     milliseconds age { 0 }; ///< Since the record last changed.
 };
 
-/// Sets requests apart that end the targets which run them. Records of several processes merge in any order
-/// and any number of times to the same one.
+/// Quarantine of requests that crash the targets which run them. Merging the records of several processes is
+/// commutative and idempotent: it gives the same result in any order and with any repetition.
 class quarantine {
 public:
     enum class status : std::uint8_t {
         clear,
-        suspect, ///< It may run once more at a time, and not again within the attempt that failed.
-        refused ///< It is known to end its targets.
+        suspect, ///< Runs one at a time, and is not retried within the attempt that failed.
+        refused ///< It is known to crash its targets.
     };
 
-    /// Whether nothing is known against any request.
+    /// Whether there is no record of any request.
     bool empty() const { return m_suspects.empty(); }
     std::size_t size() const { return m_suspects.size(); }
     status statusOf(const request_identity& identity, steady_time now) const;
-    /// For how long a request will be refused: by then its service may bear it.
+    /// Remaining time for which the request is refused; the service may have been fixed by then.
     milliseconds remainingRefusalTime(const request_identity& identity, steady_time now) const;
-    /// What is known now; a run that is sent now is judged by it when its target ends.
+    /// The current record. The caller keeps it when it sends a run and passes it to targetTerminated().
     strike_record record(const request_identity& identity) const;
 
-    /// A target ended under a run. Returns whether this is news.
-    bool targetTerminated(const request_identity& identity, const strike_record& whenSent, steady_time now);
-    /// The request was answered in full. Returns whether it had been suspected.
+    /// A target terminated during a run that was sent with this record. Returns whether the strike is new.
+    bool targetTerminated(
+        const request_identity& identity, const strike_record& recordWhenSent, steady_time now);
+    /// The request was answered completely. Returns whether this cleared any strikes.
     bool answered(const request_identity& identity, steady_time now);
-    /// Takes over what another process knows. Returns whether it was news.
+    /// Merges a record of another process. Returns whether the own record changed.
     bool merge(const suspect_report& report, steady_time now);
-    /// Forgets what is old.
+    /// Drops records that have not changed for their retention time.
     void expire(steady_time now);
 
-    /// What other processes are told: the worst records, and of these the latest, up to a bound.
+    /// The records to send to other processes, up to a limit: those with the most strikes first, and of these
+    /// the latest.
     std::vector<suspect_report> reports(steady_time now) const;
     std::optional<suspect_report> report(const request_identity& identity, steady_time now) const;
 
@@ -101,12 +104,12 @@
     using suspect_map = std::map<request_identity, suspect>;
 
     void set(const request_identity& identity, const strike_record& record, steady_time changed);
-    void dropLeast();
+    void evictLeastSuspect();
 
     suspect_map m_suspects;
 };
 
-/// Equal for equal records, whatever their order and age; 0 for none.
+/// Hash of the records, independent of their order and age; 0 for an empty list.
 std::uint64_t digestOf(std::span<const suspect_report> reports);
 
 } // namespace yuccachute
--- a/libs/quarantine/src/quarantine.cpp
+++ b/libs/quarantine/src/quarantine.cpp
@@ -10,20 +10,22 @@
 
 namespace {
 
-/// The end of one target may be chance, and the request a victim like the others that ran there.
-constexpr std::uint32_t strikesOfSuspect = 2;
-constexpr std::uint32_t strikesOfRefused = 3;
-/// After this time one more run is a try: a new version of the service may bear the request. A service that
-/// does not loses one target for it.
-constexpr std::chrono::minutes refusalTime { 5 };
-/// A record that has not changed for so long is dropped.
-constexpr std::chrono::minutes memoryTime { 15 };
-/// A former strike may still be on its way between processes for so long.
-constexpr std::chrono::minutes acquittalMemory { 1 };
-/// About 100 bytes each. When thousands of requests end targets, those of one strike go first.
-constexpr std::size_t mostSuspects = 1024;
-/// About 40 bytes each on the wire.
-constexpr std::size_t mostNotes = 64;
+/// A single strike does not make a request suspect: the target may have terminated for another reason, such
+/// as another request that ran there.
+constexpr std::uint32_t suspectThreshold = 2;
+constexpr std::uint32_t refusalThreshold = 3;
+/// After this time the request may run once more, because a new version of the service may handle it. If it
+/// does not, the run costs one target.
+constexpr std::chrono::minutes refusalDuration { 5 };
+/// A record is dropped if it has not changed for this time.
+constexpr std::chrono::minutes recordRetention { 15 };
+/// An acquittal is kept for as long as an older strike may still be in transit between processes.
+constexpr std::chrono::minutes acquittalRetention { 1 };
+/// About 100 bytes each. If thousands of requests terminate targets, those with the fewest strikes are
+/// evicted first.
+constexpr std::size_t maxSuspects = 1024;
+/// Maximum number of records in one message, of about 40 bytes each.
+constexpr std::size_t maxReports = 64;
 
 milliseconds since(steady_time then, steady_time now)
 {
@@ -35,10 +37,10 @@
 quarantine::status quarantine::statusOf(const request_identity& identity, steady_time now) const
 {
     const auto found = m_suspects.find(identity);
-    if (found == m_suspects.end() || found->second.record.strikes < strikesOfSuspect)
+    if (found == m_suspects.end() || found->second.record.strikes < suspectThreshold)
         return status::clear;
-    const bool refused
-        = found->second.record.strikes >= strikesOfRefused && since(found->second.changed, now) < refusalTime;
+    const bool refused = found->second.record.strikes >= refusalThreshold
+        && since(found->second.changed, now) < refusalDuration;
     return refused ? status::refused : status::suspect;
 }
 
@@ -46,7 +48,7 @@
 {
     if (statusOf(identity, now) != status::refused)
         return milliseconds { 0 };
-    return refusalTime - since(m_suspects.at(identity).changed, now);
+    return refusalDuration - since(m_suspects.at(identity).changed, now);
 }
 
 strike_record quarantine::record(const request_identity& identity) const
@@ -56,9 +58,9 @@
 }
 
 bool quarantine::targetTerminated(
-    const request_identity& identity, const strike_record& whenSent, steady_time now)
+    const request_identity& identity, const strike_record& recordWhenSent, steady_time now)
 {
-    const strike_record next { whenSent.acquittals, whenSent.strikes + 1 };
+    const strike_record next { recordWhenSent.acquittals, recordWhenSent.strikes + 1 };
     if (!next.supersedes(record(identity)))
         return false;
     set(identity, next, now);
@@ -76,7 +78,7 @@
 
 bool quarantine::merge(const suspect_report& report, steady_time now)
 {
-    if (!report.record.supersedes(record(report.identity)) || report.age >= memoryTime)
+    if (!report.record.supersedes(record(report.identity)) || report.age >= recordRetention)
         return false;
     set(report.identity, report.record, now - report.age);
     return true;
@@ -85,11 +87,11 @@
 void quarantine::set(const request_identity& identity, const strike_record& record, steady_time changed)
 {
     m_suspects.insert_or_assign(identity, suspect { record, changed });
-    if (m_suspects.size() > mostSuspects)
-        dropLeast();
+    if (m_suspects.size() > maxSuspects)
+        evictLeastSuspect();
 }
 
-void quarantine::dropLeast()
+void quarantine::evictLeastSuspect()
 {
     const auto least
         = std::min_element(m_suspects.begin(), m_suspects.end(), [](const auto& left, const auto& right) {
@@ -102,7 +104,7 @@
 void quarantine::expire(steady_time now)
 {
     std::erase_if(m_suspects, [&](const auto& one) {
-        const milliseconds kept = one.second.record.strikes == 0 ? acquittalMemory : memoryTime;
+        const milliseconds kept = one.second.record.strikes == 0 ? acquittalRetention : recordRetention;
         return since(one.second.changed, now) >= kept;
     });
 }
@@ -113,13 +115,13 @@
     all.reserve(m_suspects.size());
     for (const auto& [identity, one] : m_suspects)
         all.push_back({ identity, one.record, since(one.changed, now) });
-    if (all.size() <= mostNotes)
+    if (all.size() <= maxReports)
         return all;
     std::nth_element(
-        all.begin(), all.begin() + mostNotes, all.end(), [](const auto& left, const auto& right) {
+        all.begin(), all.begin() + maxReports, all.end(), [](const auto& left, const auto& right) {
             return std::tie(right.record.strikes, left.age) < std::tie(left.record.strikes, right.age);
         });
-    all.resize(mostNotes);
+    all.resize(maxReports);
     return all;
 }
 
--- a/libs/quarantine/src/request_identity.cpp
+++ b/libs/quarantine/src/request_identity.cpp
@@ -26,7 +26,7 @@
 
 request_identity identify(std::span<const std::string_view> parts)
 {
-    // Over the parts' own hashes, so that no byte can move from one part to its neighbour unseen.
+    // The hash covers the hashes of the parts, so that moving a byte from one part to the next changes it.
     std::vector<XXH128_hash_t> hashes;
     hashes.reserve(parts.size());
     for (const auto part : parts)
