--- a/libs/membership/src/membership.cpp
+++ b/libs/membership/src/membership.cpp
@@ -24,8 +24,8 @@
     constexpr std::uint64_t mask16 = 0xffff;
     const auto parts
         = member.zone + '|' + member.address + '|' + member.batchAddress + '|' + member.adminAddress;
-    const auto print = hashText(parts, member.incarnation);
-    return { static_cast<std::uint32_t>(hashText(member.vm)), static_cast<std::uint32_t>(print & mask16),
+    const auto hash = hashText(parts, member.incarnation);
+    return { static_cast<std::uint32_t>(hashText(member.vm)), static_cast<std::uint32_t>(hash & mask16),
         member.heartbeat, member.settingsVersion, member.otherProcessesVersion, member.leaving };
 }
 
@@ -38,14 +38,15 @@
     return candidate.heartbeat > known.heartbeat;
 }
 
-member_state stateFromSilence(const member_view& member, const membership_options& options, steady_time now)
+member_state stateFromHeartbeatAge(
+    const member_view& member, const membership_options& options, steady_time now)
 {
-    const auto silence = now - member.lastNews;
-    if (silence > options.deadAfter)
+    const auto heartbeatAge = now - member.lastHeartbeatTime;
+    if (heartbeatAge > options.deadAfter)
         return member_state::dead;
     if (member.info.leaving)
         return member_state::leaving;
-    return silence > options.suspectAfter ? member_state::suspect : member_state::alive;
+    return heartbeatAge > options.suspectAfter ? member_state::suspect : member_state::alive;
 }
 
 } // namespace
@@ -61,20 +62,23 @@
     ++m_self.heartbeat;
     for (auto other = m_others.begin(); other != m_others.end();) {
         auto& member = other->second;
-        // A broken connection has made it suspect before its silence would: that stands until news of it.
-        const auto bySilence = stateFromSilence(member, m_options, now);
-        if (!(member.state == member_state::suspect && bySilence == member_state::alive))
-            member.state = bySilence;
-        other = now - member.lastNews > m_options.forgetAfter ? m_others.erase(other) : std::next(other);
+        // A member that is suspect because of a broken connection stays so until its next heartbeat, although
+        // the last one is recent.
+        const auto byHeartbeatAge = stateFromHeartbeatAge(member, m_options, now);
+        if (!(member.state == member_state::suspect && byHeartbeatAge == member_state::alive))
+            member.state = byHeartbeatAge;
+        other = now - member.lastHeartbeatTime > m_options.forgetAfter ? m_others.erase(other)
+                                                                       : std::next(other);
     }
 }
 
-bool membership::merge(std::span<const member_info> news, steady_time now)
+bool membership::merge(std::span<const member_info> updates, steady_time now)
 {
     bool changed = false;
-    for (const auto& info : news) {
+    for (const auto& info : updates) {
         if (info.vm == m_self.vm) {
-            // An earlier life of this VM, or one whose clock ran ahead: outlive what is said of it.
+            // An earlier start of this VM whose clock was ahead: peers would ignore the current, lower
+            // incarnation.
             if (info.incarnation > m_self.incarnation) {
                 m_self.incarnation = info.incarnation + 1;
                 changed = true;
@@ -89,7 +93,7 @@
         const bool moved
             = member.info.batchAddress != info.batchAddress || member.info.adminAddress != info.adminAddress;
         member.info = info;
-        member.lastNews = now;
+        member.lastHeartbeatTime = now;
         member.state = info.leaving ? member_state::leaving : member_state::alive;
         changed = changed || fresh || moved || member.state != before;
     }
@@ -97,30 +101,30 @@
 }
 
 std::vector<std::uint32_t> membership::mergeHeartbeats(
-    std::span<const member_heartbeat> notes, steady_time now)
+    std::span<const member_heartbeat> heartbeats, steady_time now)
 {
     std::map<std::uint32_t, member_view*> known;
     for (auto& [vm, member] : m_others)
         known[heartbeatOf(member.info).id] = &member;
     const auto own = heartbeatOf(m_self);
     std::vector<std::uint32_t> wanted;
-    for (const auto& note : notes) {
-        if (note.id == own.id) {
-            if (note.fingerprint != own.fingerprint)
-                wanted.push_back(note.id); // Perhaps of an earlier life with a clock that ran ahead.
+    for (const auto& received : heartbeats) {
+        if (received.id == own.id) {
+            if (received.fingerprint != own.fingerprint)
+                wanted.push_back(received.id); // Possibly of an earlier start whose clock was ahead.
             continue;
         }
-        const auto found = known.find(note.id);
-        if (found == known.end() || heartbeatOf(found->second->info).fingerprint != note.fingerprint) {
-            wanted.push_back(note.id);
+        const auto found = known.find(received.id);
+        if (found == known.end() || heartbeatOf(found->second->info).fingerprint != received.fingerprint) {
+            wanted.push_back(received.id);
             continue;
         }
-        auto news = found->second->info;
-        news.heartbeat = note.heartbeat;
-        news.settingsVersion = note.settingsVersion;
-        news.otherProcessesVersion = note.otherProcessesVersion;
-        news.leaving = note.leaving;
-        merge(std::span(&news, 1), now);
+        auto update = found->second->info;
+        update.heartbeat = received.heartbeat;
+        update.settingsVersion = received.settingsVersion;
+        update.otherProcessesVersion = received.otherProcessesVersion;
+        update.leaving = received.leaving;
+        merge(std::span(&update, 1), now);
     }
     return wanted;
 }
--- a/libs/membership/tests/test_membership.cpp
+++ b/libs/membership/tests/test_membership.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-member_info make(std::string vm, std::uint64_t incarnation = 1)
+member_info makeMember(std::string vm, std::uint64_t incarnation = 1)
 {
     member_info info;
     info.vm = std::move(vm);
@@ -29,10 +29,10 @@
 
 } // namespace
 
-TEST_CASE("silence makes a member suspect, then dead, and a heartbeat brings it back")
+TEST_CASE("a member without heartbeats becomes suspect, then dead, and alive again with a heartbeat")
 {
-    membership self(make("a"), {}, start);
-    auto other = make("b");
+    membership self(makeMember("a"), {}, start);
+    auto other = makeMember("b");
     self.merge(std::span(&other, 1), start);
     self.tick(start + 2s);
     CHECK(stateOf(self, "b") == member_state::alive);
@@ -46,12 +46,11 @@
     CHECK(stateOf(self, "b") == member_state::alive);
 }
 
-// Story: a VM is paused for a minute and wakes; its peers have given it up, and old news of it is still being
-// passed around. If old news counted as life, a dead VM would be kept alive for ever.
-TEST_CASE("repeated old news does not keep a dead member alive")
+// Guards against a dead member that stays alive because peers keep passing on its last heartbeat.
+TEST_CASE("a repeated old heartbeat does not keep a dead member alive")
 {
-    membership self(make("a"), {}, start);
-    auto other = make("b");
+    membership self(makeMember("a"), {}, start);
+    auto other = makeMember("b");
     for (int second = 0; second <= 9; ++second) {
         self.merge(std::span(&other, 1), start + std::chrono::seconds(second));
         self.tick(start + std::chrono::seconds(second));
@@ -59,22 +58,22 @@
     CHECK(stateOf(self, "b") == member_state::dead);
 }
 
-TEST_CASE("a restarted VM is believed over its earlier life, also with a clock that ran backwards")
+TEST_CASE("a restarted VM supersedes its earlier incarnation even if its clock was set back")
 {
-    membership self(make("a", 100), {}, start);
-    auto earlier = make("a", 200);
+    membership self(makeMember("a", 100), {}, start);
+    auto earlier = makeMember("a", 200);
     earlier.leaving = true;
     self.merge(std::span(&earlier, 1), start);
     CHECK(self.self().incarnation == 201);
     CHECK(!self.self().leaving);
 }
 
-TEST_CASE("a leaving member owns nothing, and a broken connection counts before silence does")
+TEST_CASE("a leaving member owns no keys, and a broken connection makes a member suspect at once")
 {
-    membership self(make("a"), {}, start);
-    const std::vector<member_info> others { make("b"), make("c") };
+    membership self(makeMember("a"), {}, start);
+    const std::vector<member_info> others { makeMember("b"), makeMember("c") };
     self.merge(others, start);
-    auto leaving = make("b");
+    auto leaving = makeMember("b");
     leaving.heartbeat = 1;
     leaving.leaving = true;
     self.merge(std::span(&leaving, 1), start);
@@ -86,11 +85,11 @@
     CHECK(self.eligibleMembers("rennes-a")[0].vm == "c");
 }
 
-TEST_CASE("when one of n members goes, only its own keys move")
+TEST_CASE("when one of n members is removed, only its own keys move")
 {
     std::vector<member_info> members;
     for (int i = 0; i < 33; ++i)
-        members.push_back(make("vm" + std::to_string(i)));
+        members.push_back(makeMember("vm" + std::to_string(i)));
     const std::vector<member_info> fewer(members.begin() + 1, members.end());
     int moved = 0;
     constexpr int keys = 3300;
@@ -107,19 +106,19 @@
     CHECK(moved < keys / 33 * 2);
 }
 
-TEST_CASE("a heartbeat note stands for a known member, and an unknown or changed one is asked for")
+TEST_CASE("a heartbeat updates a known member, and an unknown or changed member is requested in full")
 {
-    membership self(make("a"), {}, start);
-    auto other = make("b");
+    membership self(makeMember("a"), {}, start);
+    auto other = makeMember("b");
     const auto first = heartbeatOf(other);
     CHECK(self.mergeHeartbeats(std::span(&first, 1), start) == std::vector<std::uint32_t> { first.id });
     self.merge(std::span(&other, 1), start);
     other.heartbeat = 7;
     other.settingsVersion = 9;
-    const auto beat = heartbeatOf(other);
-    CHECK(self.mergeHeartbeats(std::span(&beat, 1), start + 2s).empty());
+    const auto next = heartbeatOf(other);
+    CHECK(self.mergeHeartbeats(std::span(&next, 1), start + 2s).empty());
     CHECK(self.view()[1].info.settingsVersion == 9);
-    CHECK(self.view()[1].lastNews == start + 2s);
+    CHECK(self.view()[1].lastHeartbeatTime == start + 2s);
     other.batchAddress = "127.0.0.1:5";
     const auto moved = heartbeatOf(other);
     CHECK(self.mergeHeartbeats(std::span(&moved, 1), start + 3s).size() == 1);
@@ -127,17 +126,17 @@
     CHECK(self.mergeHeartbeats(std::span(&own, 1), start).empty());
 }
 
-// Story: an edit is accepted and pushed to every entry at once, but most put it in force only a second later:
-// the push carried the heartbeat that they already knew, and was taken for old news.
-TEST_CASE("a change between two heartbeats is news")
+// Guards against a settings version that peers ignore because it is sent with a heartbeat that they already
+// know: most entries put an edit in force a second after it was pushed to all of them.
+TEST_CASE("a change between two periodic heartbeats increments the heartbeat")
 {
-    membership pusher(make("a"), {}, start);
-    membership receiver(make("b"), {}, start);
+    membership pusher(makeMember("a"), {}, start);
+    membership receiver(makeMember("b"), {}, start);
     receiver.merge(pusher.digest(), start);
     pusher.setSettingsVersion(7);
-    const auto note = heartbeatOf(pusher.self());
-    receiver.mergeHeartbeats(std::span(&note, 1), start);
+    const auto pushed = heartbeatOf(pusher.self());
+    receiver.mergeHeartbeats(std::span(&pushed, 1), start);
     CHECK(receiver.view()[1].info.settingsVersion == 7);
     pusher.setSettingsVersion(7);
-    CHECK(heartbeatOf(pusher.self()).heartbeat == note.heartbeat);
+    CHECK(heartbeatOf(pusher.self()).heartbeat == pushed.heartbeat);
 }
