--- a/libs/bulk/include/bulk/bulk.h
+++ b/libs/bulk/include/bulk/bulk.h
@@ -36,7 +36,7 @@
 
 /// By which a job is known: the id that its customer gave it, within the customer's own ids. So a job of
 /// another customer is not found under the same id. `id` holds letters, digits, '-', '_' and '.' only.
-std::string jobIdOf(std::string_view customer, std::string_view id);
+std::string customerScopedId(std::string_view customer, std::string_view id);
 
 /// Tokens of all items of a job.
 std::uint64_t tokensOf(const bulk_record& record);
@@ -78,13 +78,13 @@
 };
 
 /// What is stored of an unfinished job beside its record.
-struct bulk_opening {
+struct open_job_record {
     bulk_holder holder;
     token_claim claim;
 };
 
-std::string encodeOpening(const bulk_opening& opening);
-result<bulk_opening> decodeOpening(std::string_view bytes);
+std::string encodeOpenJob(const open_job_record& openJob);
+result<open_job_record> decodeOpenJob(std::string_view bytes);
 
 /// The unfinished jobs of a route, as far as a listing of the store shows them.
 struct open_claims {
@@ -103,22 +103,22 @@
 
     std::int64_t revision() const { return m_revision; }
     /// Whether a listing together with this account shows all jobs.
-    bool covers(const open_claims& listed) const { return listed.revision >= m_coveredTo; }
+    bool covers(const open_claims& listed) const { return listed.revision >= m_trimmedRevision; }
     /// Tokens that wait at most.
-    std::uint64_t waiting(const open_claims& listed) const;
+    std::uint64_t pendingTokens(const open_claims& listed) const;
     /// The account with one more job, to be written on condition of revision().
-    token_account with(std::string_view job, std::uint64_t tokens) const;
+    token_account withJob(std::string_view job, std::uint64_t tokens) const;
 
 private:
-    struct admitted {
+    struct recent_job {
         std::string job;
         std::uint64_t tokens = 0;
         std::int64_t revision = 0; ///< Of its creation; 0 for the latest, which is that of the account.
     };
 
     std::int64_t m_revision = 0;
-    std::int64_t m_coveredTo = 0; ///< Jobs up to this revision are not kept here any more.
-    std::vector<admitted> m_latest;
+    std::int64_t m_trimmedRevision = 0; ///< Jobs up to this revision are not kept here any more.
+    std::vector<recent_job> m_recentJobs;
 };
 
 /// How far an item has come that has no result yet.
@@ -140,16 +140,16 @@
 };
 
 /// How one run of an item ended.
-enum class run_end : std::uint8_t {
-    whole, ///< All events have been received.
-    broken, ///< It broke off, was revoked, or was refused; it goes on behind its last event.
+enum class run_outcome : std::uint8_t {
+    completed, ///< All events have been received.
+    interrupted, ///< It broke off, was revoked, or was refused; it goes on behind its last event.
     aborted, ///< Broken off by the target, or answered in a way that means nothing; may be repeated.
     failed, ///< The target failed on it.
-    impossible ///< The target says that it can never be done.
+    rejected ///< The target says that it can never be done.
 };
 
 /// An item to run.
-struct bulk_start {
+struct bulk_item_start {
     std::uint32_t index = 0;
     std::optional<std::uint64_t> lastEvent; ///< To go on behind.
 };
@@ -164,58 +164,58 @@
     steady_time due() const { return m_due; }
 
     /// Adds a committed group; the job's results are listed in the order of these calls.
-    void committed(const bulk_result_group& group);
+    void addCommitted(const bulk_result_group& group);
     /// All committed results, by position.
-    std::span<const bulk_result> listed() const { return m_listed; }
-    std::size_t groups() const { return m_groups; }
-    bool complete() const { return m_listed.size() == m_record.items.size(); }
+    std::span<const bulk_result> committedResults() const { return m_committedResults; }
+    std::size_t committedGroups() const { return m_groups; }
+    bool complete() const { return m_committedResults.size() == m_record.items.size(); }
 
     /// The next item to run, or nothing: the one that has come furthest.
-    std::optional<bulk_start> next();
+    std::optional<bulk_item_start> next();
     /// Items that wait to be run.
     std::size_t waiting() const { return m_waiting.size(); }
     std::size_t running() const { return m_running; }
     /// Events that the next item to run has already.
-    std::size_t nextProgress() const;
+    std::size_t nextItemEvents() const;
 
     /// How far the items without a result have come.
     std::vector<item_progress> progress() const;
     /// Events of the items without a result, together.
-    std::size_t eventsHeld() const;
+    std::size_t bufferedEvents() const;
     /// Takes over what a former holder has saved: its items go on where they stood. Called before the first
     /// next().
     void restore(std::vector<item_progress> saved);
 
     /// An event of a running item has arrived. Returns false if it does not follow its predecessor.
-    bool event(std::uint32_t index, std::optional<std::uint64_t> id, std::string data);
-    void ended(std::uint32_t index, run_end how, steady_time now);
+    bool addEvent(std::uint32_t index, std::optional<std::uint64_t> id, std::string data);
+    void finishRun(std::uint32_t index, run_outcome outcome, steady_time now);
     /// Gives up what waits, because of its age or because its route is gone.
-    void giveUpWaiting(steady_time now);
+    void abandonWaiting(steady_time now);
     /// Gives up what waits if the job has expired.
     void expire(steady_time now);
 
     /// Results that wait to be committed. `since` is when the oldest one came.
-    std::size_t uncommitted() const { return m_finished.size(); }
-    steady_time uncommittedSince() const { return m_finishedSince; }
+    std::size_t uncommitted() const { return m_uncommitted.size(); }
+    steady_time uncommittedSince() const { return m_uncommittedSince; }
     /// What to commit next: the same until it was committed, because the answer to a commit can be lost and
     /// the commit be executed later.
     const bulk_result_group& nextGroup(std::string_view token);
     bool completes(const bulk_result_group& group) const;
     /// Tokens of the items that have no listed result once a group is committed.
-    std::uint64_t tokensLeftAfter(const bulk_result_group& group) const;
+    std::uint64_t tokensRemainingAfter(const bulk_result_group& group) const;
 
 private:
     struct item_state {
         std::vector<std::string> events;
         std::optional<std::uint64_t> lastEvent;
         unsigned failures = 0;
-        bool settled = false; ///< It has a result, committed or not.
+        bool hasResult = false; ///< It has a result, committed or not.
         bool running = false;
     };
 
-    void settle(std::uint32_t index, bool done, steady_time now);
+    void finishItem(std::uint32_t index, bool done, steady_time now);
     /// The waiting item that is nearest to its end.
-    std::deque<std::uint32_t>::const_iterator furthest() const;
+    std::deque<std::uint32_t>::const_iterator mostAdvancedItem() const;
 
     bulk_record m_record;
     bulk_limits m_limits;
@@ -223,18 +223,18 @@
     std::vector<item_state> m_items;
     std::deque<std::uint32_t> m_waiting;
     std::size_t m_running = 0;
-    std::vector<bulk_result> m_listed;
+    std::vector<bulk_result> m_committedResults;
     std::size_t m_groups = 0;
-    std::vector<bulk_result> m_finished;
-    steady_time m_finishedSince;
-    std::optional<bulk_result_group> m_committing;
+    std::vector<bulk_result> m_uncommitted;
+    steady_time m_uncommittedSince;
+    std::optional<bulk_result_group> m_pendingGroup;
 };
 
 /// After so many cuts in a row without a new event the item is the cause, not the targets: they are not
 /// blamed any more. Each target would be blamed in turn, and all be left alone, live callers included.
-constexpr unsigned cutsBlamedOnTargets = 2;
+constexpr unsigned maxAbortsChargedToTarget = 2;
 
 /// How long an item waits after so many cuts in a row: zero while they are blamed on targets.
-milliseconds pauseAfterCuts(unsigned cuts);
+milliseconds retryDelayAfterAborts(unsigned aborts);
 
 } // namespace yuccachute
--- a/libs/bulk/src/bulk_job.cpp
+++ b/libs/bulk/src/bulk_job.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// An item that every target cuts would else run hundreds of times a second until it expires.
-constexpr milliseconds firstCutPause { 100 };
-constexpr milliseconds longestCutPause { 2000 };
-constexpr unsigned mostCutDoublings = 5;
+constexpr milliseconds initialRetryDelay { 100 };
+constexpr milliseconds maxRetryDelay { 2000 };
+constexpr unsigned maxRetryDelayDoublings = 5;
 
 /// A group stays below the size of a value in the store, encoded.
-constexpr std::size_t mostGroupBytes = 400u << 10;
+constexpr std::size_t maxGroupBytes = 400u << 10;
 
-std::string joinLines(const std::vector<std::string>& lines)
+std::string joinWithLineFeeds(const std::vector<std::string>& lines)
 {
     std::string joined;
     for (std::size_t i = 0; i < lines.size(); ++i) {
@@ -38,30 +38,30 @@
     std::iota(m_waiting.begin(), m_waiting.end(), 0u);
 }
 
-void bulk_job::committed(const bulk_result_group& group)
+void bulk_job::addCommitted(const bulk_result_group& group)
 {
     ++m_groups;
     for (const auto& entry : group.results) {
         if (entry.index >= m_items.size())
             continue; // Cannot be: groups are written by holders of the same record.
-        m_items[entry.index].settled = true;
+        m_items[entry.index].hasResult = true;
         std::erase(m_waiting, entry.index);
-        std::erase_if(m_finished, [&](const auto& finished) { return finished.index == entry.index; });
-        m_listed.push_back(entry);
+        std::erase_if(m_uncommitted, [&](const auto& finished) { return finished.index == entry.index; });
+        m_committedResults.push_back(entry);
     }
-    m_committing.reset(); // Last: it may be what the caller has passed.
+    m_pendingGroup.reset(); // Last: it may be what the caller has passed.
 }
 
-std::deque<std::uint32_t>::const_iterator bulk_job::furthest() const
+std::deque<std::uint32_t>::const_iterator bulk_job::mostAdvancedItem() const
 {
     return std::max_element(m_waiting.begin(), m_waiting.end(), [&](std::uint32_t left, std::uint32_t right) {
         return m_items[left].events.size() < m_items[right].events.size();
     });
 }
 
-std::size_t bulk_job::nextProgress() const
+std::size_t bulk_job::nextItemEvents() const
 {
-    return m_waiting.empty() ? 0 : m_items[*furthest()].events.size();
+    return m_waiting.empty() ? 0 : m_items[*mostAdvancedItem()].events.size();
 }
 
 std::vector<item_progress> bulk_job::progress() const
@@ -69,13 +69,13 @@
     std::vector<item_progress> all;
     for (std::uint32_t index = 0; index < m_items.size(); ++index) {
         const auto& item = m_items[index];
-        if (!item.settled && item.lastEvent)
+        if (!item.hasResult && item.lastEvent)
             all.push_back({ index, *item.lastEvent, item.events });
     }
     return all;
 }
 
-std::size_t bulk_job::eventsHeld() const
+std::size_t bulk_job::bufferedEvents() const
 {
     return std::accumulate(m_items.begin(), m_items.end(), std::size_t { 0 },
         [](std::size_t sum, const item_state& item) { return sum + item.events.size(); });
@@ -84,26 +84,26 @@
 void bulk_job::restore(std::vector<item_progress> saved)
 {
     for (auto& one : saved) {
-        if (one.index >= m_items.size() || m_items[one.index].settled)
+        if (one.index >= m_items.size() || m_items[one.index].hasResult)
             continue; // Its result was committed after it was saved.
         m_items[one.index].lastEvent = one.lastEvent;
         m_items[one.index].events = std::move(one.events);
     }
 }
 
-std::optional<bulk_start> bulk_job::next()
+std::optional<bulk_item_start> bulk_job::next()
 {
     if (m_waiting.empty())
         return std::nullopt;
-    const auto chosen = furthest();
+    const auto chosen = mostAdvancedItem();
     const auto index = *chosen;
     m_waiting.erase(chosen);
     m_items[index].running = true;
     ++m_running;
-    return bulk_start { index, m_items[index].lastEvent };
+    return bulk_item_start { index, m_items[index].lastEvent };
 }
 
-bool bulk_job::event(std::uint32_t index, std::optional<std::uint64_t> id, std::string data)
+bool bulk_job::addEvent(std::uint32_t index, std::optional<std::uint64_t> id, std::string data)
 {
     auto& item = m_items[index];
     if (!id || (item.lastEvent && *id != *item.lastEvent + 1))
@@ -113,89 +113,89 @@
     return true;
 }
 
-void bulk_job::ended(std::uint32_t index, run_end how, steady_time now)
+void bulk_job::finishRun(std::uint32_t index, run_outcome outcome, steady_time now)
 {
     auto& item = m_items[index];
     if (item.running)
         --m_running;
     item.running = false;
-    if (item.settled)
+    if (item.hasResult)
         return;
-    switch (how) {
-    case run_end::whole:
-        return settle(index, true, now);
-    case run_end::impossible:
-        return settle(index, false, now);
-    case run_end::failed:
+    switch (outcome) {
+    case run_outcome::completed:
+        return finishItem(index, true, now);
+    case run_outcome::rejected:
+        return finishItem(index, false, now);
+    case run_outcome::failed:
         if (++item.failures >= m_limits.maxAttempts)
-            return settle(index, false, now);
+            return finishItem(index, false, now);
         break;
-    case run_end::broken:
-    case run_end::aborted:
+    case run_outcome::interrupted:
+    case run_outcome::aborted:
         break;
     }
     m_waiting.push_back(index);
 }
 
-void bulk_job::settle(std::uint32_t index, bool done, steady_time now)
+void bulk_job::finishItem(std::uint32_t index, bool done, steady_time now)
 {
     auto& item = m_items[index];
-    item.settled = true;
-    if (m_finished.empty())
-        m_finishedSince = now;
-    m_finished.push_back({ index, done, done ? joinLines(item.events) : std::string() });
+    item.hasResult = true;
+    if (m_uncommitted.empty())
+        m_uncommittedSince = now;
+    m_uncommitted.push_back({ index, done, done ? joinWithLineFeeds(item.events) : std::string() });
     item.events.clear();
 }
 
-void bulk_job::giveUpWaiting(steady_time now)
+void bulk_job::abandonWaiting(steady_time now)
 {
     for (const auto index : std::exchange(m_waiting, {}))
-        settle(index, false, now);
+        finishItem(index, false, now);
 }
 
 void bulk_job::expire(steady_time now)
 {
     if (now >= m_limits.expiry)
-        giveUpWaiting(now);
+        abandonWaiting(now);
 }
 
 const bulk_result_group& bulk_job::nextGroup(std::string_view token)
 {
-    if (m_committing)
-        return *m_committing;
-    m_committing.emplace();
-    m_committing->token = token;
+    if (m_pendingGroup)
+        return *m_pendingGroup;
+    m_pendingGroup.emplace();
+    m_pendingGroup->token = token;
     std::size_t bytes = 0;
-    for (const auto& finished : m_finished) {
+    for (const auto& finished : m_uncommitted) {
         bytes += finished.text.size();
-        if (bytes > mostGroupBytes && !m_committing->results.empty())
+        if (bytes > maxGroupBytes && !m_pendingGroup->results.empty())
             break;
-        m_committing->results.push_back(finished);
+        m_pendingGroup->results.push_back(finished);
     }
-    return *m_committing;
+    return *m_pendingGroup;
 }
 
 bool bulk_job::completes(const bulk_result_group& group) const
 {
-    return m_listed.size() + group.results.size() == m_record.items.size();
+    return m_committedResults.size() + group.results.size() == m_record.items.size();
 }
 
-std::uint64_t bulk_job::tokensLeftAfter(const bulk_result_group& group) const
+std::uint64_t bulk_job::tokensRemainingAfter(const bulk_result_group& group) const
 {
     auto left = tokensOf(m_record);
-    for (const auto& entry : m_listed)
+    for (const auto& entry : m_committedResults)
         left -= m_record.items[entry.index].tokens;
     for (const auto& entry : group.results)
         left -= m_record.items[entry.index].tokens;
     return left;
 }
 
-milliseconds pauseAfterCuts(unsigned cuts)
+milliseconds retryDelayAfterAborts(unsigned aborts)
 {
-    if (cuts < cutsBlamedOnTargets)
+    if (aborts < maxAbortsChargedToTarget)
         return milliseconds { 0 };
-    const auto doublings = std::min(cuts - cutsBlamedOnTargets, mostCutDoublings);
-    return std::min(firstCutPause * (1 << doublings), longestCutPause);
+    const auto doublings = std::min(aborts - maxAbortsChargedToTarget, maxRetryDelayDoublings);
+    return std::min(initialRetryDelay * (1 << doublings), maxRetryDelay);
 }
 
 } // namespace yuccachute
--- a/libs/bulk/src/bulk_records.cpp
+++ b/libs/bulk/src/bulk_records.cpp
@@ -87,21 +87,21 @@
 }
 
 /// Customers' names may be long and hold any letter; keys of the store may not.
-bool fitsIntoKeys(std::string_view name)
+bool isValidInKeys(std::string_view name)
 {
-    constexpr std::size_t mostBytes = 32;
-    return name.size() <= mostBytes && std::all_of(name.begin(), name.end(), [](unsigned char letter) {
+    constexpr std::size_t maxBytes = 32;
+    return name.size() <= maxBytes && std::all_of(name.begin(), name.end(), [](unsigned char letter) {
         return std::isalnum(letter) || letter == '-' || letter == '_';
     });
 }
 
 } // namespace
 
-std::string jobIdOf(std::string_view customer, std::string_view id)
+std::string customerScopedId(std::string_view customer, std::string_view id)
 {
     if (customer.empty())
         return std::string(id);
-    if (fitsIntoKeys(customer))
+    if (isValidInKeys(customer))
         return std::string(customer) + ':' + std::string(id);
     char digits[20];
     // With a second colon, which no name that stands for itself contains.
@@ -162,24 +162,24 @@
     return unpack<std::vector<item_progress>>(bytes, "the progress of a job", readProgress);
 }
 
-std::string encodeOpening(const bulk_opening& opening)
+std::string encodeOpenJob(const open_job_record& openJob)
 {
-    json document { { "vm", opening.holder.vm }, { "incarnation", opening.holder.incarnation } };
-    if (!opening.claim.route.empty())
-        document.update({ { "route", opening.claim.route }, { "tokens", opening.claim.tokens } });
+    json document { { "vm", openJob.holder.vm }, { "incarnation", openJob.holder.incarnation } };
+    if (!openJob.claim.route.empty())
+        document.update({ { "route", openJob.claim.route }, { "tokens", openJob.claim.tokens } });
     return document.dump();
 }
 
-result<bulk_opening> decodeOpening(std::string_view bytes)
+result<open_job_record> decodeOpenJob(std::string_view bytes)
 {
     const auto document = json::parse(bytes, nullptr, false);
     try {
-        bulk_opening opening;
-        opening.holder.vm = document.at("vm").get<std::string>();
-        opening.holder.incarnation = document.at("incarnation").get<std::uint64_t>();
-        opening.claim.route = document.value("route", "");
-        opening.claim.tokens = document.value("tokens", std::uint64_t { 0 });
-        return opening;
+        open_job_record openJob;
+        openJob.holder.vm = document.at("vm").get<std::string>();
+        openJob.holder.incarnation = document.at("incarnation").get<std::uint64_t>();
+        openJob.claim.route = document.value("route", "");
+        openJob.claim.tokens = document.value("tokens", std::uint64_t { 0 });
+        return openJob;
     } catch (const json::exception& error) {
         return notRun(failure_kind::internal,
             std::string("the holder of a job in the store is damaged: ") + error.what());
--- a/libs/bulk/src/token_account.cpp
+++ b/libs/bulk/src/token_account.cpp
@@ -12,7 +12,7 @@
 
 /// Jobs that an account names at most: more than are created between two listings of a process, two seconds
 /// apart. Whoever listed earlier lists anew.
-constexpr std::size_t mostNamed = 64;
+constexpr std::size_t maxRecentJobs = 64;
 
 } // namespace
 
@@ -24,33 +24,33 @@
         return account;
     const auto document = json::parse(bytes, nullptr, false);
     try {
-        account.m_coveredTo = document.at("covered_to").get<std::int64_t>();
+        account.m_trimmedRevision = document.at("covered_to").get<std::int64_t>();
         for (const auto& entry : document.at("latest"))
-            account.m_latest.push_back({ entry.at(0).get<std::string>(), entry.at(1).get<std::uint64_t>(),
+            account.m_recentJobs.push_back({ entry.at(0).get<std::string>(), entry.at(1).get<std::uint64_t>(),
                 entry.at(2).get<std::int64_t>() });
     } catch (const json::exception& error) {
         return notRun(failure_kind::internal,
             std::string("a route's account of waiting tokens is damaged: ") + error.what());
     }
-    if (!account.m_latest.empty())
-        account.m_latest.back().revision = revision;
+    if (!account.m_recentJobs.empty())
+        account.m_recentJobs.back().revision = revision;
     return account;
 }
 
 std::string token_account::encode() const
 {
     auto latest = json::array();
-    for (const auto& entry : m_latest)
+    for (const auto& entry : m_recentJobs)
         latest.push_back({ entry.job, entry.tokens, entry.revision });
-    return json { { "covered_to", m_coveredTo }, { "latest", std::move(latest) } }.dump();
+    return json { { "covered_to", m_trimmedRevision }, { "latest", std::move(latest) } }.dump();
 }
 
-std::uint64_t token_account::waiting(const open_claims& listed) const
+std::uint64_t token_account::pendingTokens(const open_claims& listed) const
 {
     std::uint64_t tokens = 0;
     for (const auto& [job, left] : listed.tokens)
         tokens += left;
-    for (const auto& entry : m_latest) {
+    for (const auto& entry : m_recentJobs) {
         // What the listing should show and does not show is finished.
         if (entry.revision > listed.revision && !listed.tokens.contains(entry.job))
             tokens += entry.tokens;
@@ -58,15 +58,15 @@
     return tokens;
 }
 
-token_account token_account::with(std::string_view job, std::uint64_t tokens) const
+token_account token_account::withJob(std::string_view job, std::uint64_t tokens) const
 {
     auto next = *this;
-    next.m_latest.push_back({ std::string(job), tokens, 0 });
-    const auto surplus = next.m_latest.size() - std::min(next.m_latest.size(), mostNamed);
+    next.m_recentJobs.push_back({ std::string(job), tokens, 0 });
+    const auto surplus = next.m_recentJobs.size() - std::min(next.m_recentJobs.size(), maxRecentJobs);
     if (surplus > 0) {
-        const auto end = next.m_latest.begin() + static_cast<std::ptrdiff_t>(surplus);
-        next.m_coveredTo = std::max(next.m_coveredTo, (end - 1)->revision);
-        next.m_latest.erase(next.m_latest.begin(), end);
+        const auto end = next.m_recentJobs.begin() + static_cast<std::ptrdiff_t>(surplus);
+        next.m_trimmedRevision = std::max(next.m_trimmedRevision, (end - 1)->revision);
+        next.m_recentJobs.erase(next.m_recentJobs.begin(), end);
     }
     return next;
 }
--- a/libs/bulk/tests/test_bulk.cpp
+++ b/libs/bulk/tests/test_bulk.cpp
@@ -42,36 +42,36 @@
     REQUIRE(group);
     CHECK(group.value().results[0].text == "a\nb");
     CHECK(!group.value().results[1].done);
-    const auto opening = decodeOpening(encodeOpening({ { "v", 7 }, { "r", 940 } }));
-    CHECK(opening.value().holder == bulk_holder { "v", 7 });
-    CHECK(opening.value().claim == token_claim { "r", 940 });
-    CHECK(decodeOpening(encodeOpening({ { "v", 7 }, {} })).value().claim == token_claim {});
+    const auto openJob = decodeOpenJob(encodeOpenJob({ { "v", 7 }, { "r", 940 } }));
+    CHECK(openJob.value().holder == bulk_holder { "v", 7 });
+    CHECK(openJob.value().claim == token_claim { "r", 940 });
+    CHECK(decodeOpenJob(encodeOpenJob({ { "v", 7 }, {} })).value().claim == token_claim {});
     CHECK(!decodeBulkRecord("nonsense"));
     CHECK(!decodeGroup(encodeRecord(record(1))));
-    CHECK(!decodeOpening("[]"));
+    CHECK(!decodeOpenJob("[]"));
 }
 
 TEST_CASE("an item goes on behind its last event and is listed with the whole text")
 {
     auto held = job(1);
     REQUIRE(held.next());
-    CHECK(held.event(0, 1, "a"));
-    CHECK(held.event(0, 2, "b"));
-    CHECK(!held.event(0, 4, "d"));
-    held.ended(0, run_end::broken, at(1));
+    CHECK(held.addEvent(0, 1, "a"));
+    CHECK(held.addEvent(0, 2, "b"));
+    CHECK(!held.addEvent(0, 4, "d"));
+    held.finishRun(0, run_outcome::interrupted, at(1));
     const auto again = held.next();
     REQUIRE(again);
     CHECK(again->lastEvent == 2);
-    CHECK(held.event(0, 3, "c"));
-    held.ended(0, run_end::whole, at(2));
+    CHECK(held.addEvent(0, 3, "c"));
+    held.finishRun(0, run_outcome::completed, at(2));
     CHECK(held.uncommitted() == 1);
     CHECK(held.uncommittedSince() == at(2));
     const auto group = held.nextGroup("t");
     CHECK(held.completes(group));
-    CHECK(held.listed().empty());
-    held.committed(group);
+    CHECK(held.committedResults().empty());
+    held.addCommitted(group);
     CHECK(held.complete());
-    CHECK(held.listed()[0].text == "a\nb\nc");
+    CHECK(held.committedResults()[0].text == "a\nb\nc");
 }
 
 TEST_CASE("only failures and impossible items count towards giving up")
@@ -79,15 +79,15 @@
     auto held = job(2, 2);
     for (int i = 0; i < 20; ++i) {
         REQUIRE(held.next());
-        held.ended(i % 2 == 0 ? 0u : 1u, run_end::broken, at(i));
+        held.finishRun(i % 2 == 0 ? 0u : 1u, run_outcome::interrupted, at(i));
     }
     CHECK(held.uncommitted() == 0);
     const auto first = held.next()->index;
-    held.ended(first, run_end::failed, at(30));
+    held.finishRun(first, run_outcome::failed, at(30));
     CHECK(held.uncommitted() == 0);
-    held.ended(held.next()->index, run_end::impossible, at(31));
+    held.finishRun(held.next()->index, run_outcome::rejected, at(31));
     CHECK(held.uncommitted() == 1);
-    held.ended(held.next()->index, run_end::failed, at(32));
+    held.finishRun(held.next()->index, run_outcome::failed, at(32));
     CHECK(held.uncommitted() == 2);
     CHECK(!held.next());
 }
@@ -98,12 +98,12 @@
 TEST_CASE("a commit stays the same until its outcome is known")
 {
     auto held = job(3);
-    held.ended(held.next()->index, run_end::whole, at(1));
+    held.finishRun(held.next()->index, run_outcome::completed, at(1));
     const auto first = held.nextGroup("a");
-    held.ended(held.next()->index, run_end::whole, at(2));
+    held.finishRun(held.next()->index, run_outcome::completed, at(2));
     CHECK(held.nextGroup("b").token == "a");
     CHECK(held.nextGroup("b").results.size() == 1);
-    held.committed(first);
+    held.addCommitted(first);
     CHECK(held.nextGroup("b").token == "b");
     CHECK(held.nextGroup("b").results.size() == 1);
 }
@@ -115,15 +115,15 @@
     auto held = job(2);
     held.next();
     held.next();
-    held.ended(0, run_end::whole, at(1));
-    held.committed({ "other", { { 0, true, "theirs" } } });
+    held.finishRun(0, run_outcome::completed, at(1));
+    held.addCommitted({ "other", { { 0, true, "theirs" } } });
     CHECK(held.uncommitted() == 0);
-    held.ended(1, run_end::whole, at(2));
-    held.committed(held.nextGroup("mine"));
+    held.finishRun(1, run_outcome::completed, at(2));
+    held.addCommitted(held.nextGroup("mine"));
     CHECK(held.complete());
-    CHECK(held.listed()[0].text == "theirs");
+    CHECK(held.committedResults()[0].text == "theirs");
     // A run that ends after its item was listed changes nothing.
-    held.ended(0, run_end::whole, at(3));
+    held.finishRun(0, run_outcome::completed, at(3));
     CHECK(held.uncommitted() == 0);
 }
 
@@ -135,7 +135,7 @@
     CHECK(held.uncommitted() == 0);
     held.expire(at(60000));
     CHECK(held.uncommitted() == 1);
-    held.ended(0, run_end::broken, at(60001));
+    held.finishRun(0, run_outcome::interrupted, at(60001));
     held.expire(at(60002));
     CHECK(held.uncommitted() == 2);
 }
@@ -144,14 +144,15 @@
 // was blamed for it, until none was left for live callers.
 TEST_CASE("an item that is cut again and again waits, and its targets are not blamed")
 {
-    CHECK(pauseAfterCuts(0) == milliseconds { 0 });
-    CHECK(pauseAfterCuts(cutsBlamedOnTargets - 1) == milliseconds { 0 });
-    CHECK(pauseAfterCuts(cutsBlamedOnTargets) >= milliseconds { 50 });
-    CHECK(pauseAfterCuts(cutsBlamedOnTargets + 3) > pauseAfterCuts(cutsBlamedOnTargets));
-    CHECK(pauseAfterCuts(1000) == milliseconds { 2000 });
+    CHECK(retryDelayAfterAborts(0) == milliseconds { 0 });
+    CHECK(retryDelayAfterAborts(maxAbortsChargedToTarget - 1) == milliseconds { 0 });
+    CHECK(retryDelayAfterAborts(maxAbortsChargedToTarget) >= milliseconds { 50 });
+    CHECK(retryDelayAfterAborts(maxAbortsChargedToTarget + 3)
+        > retryDelayAfterAborts(maxAbortsChargedToTarget));
+    CHECK(retryDelayAfterAborts(1000) == milliseconds { 2000 });
     auto held = job(1);
     held.next();
-    held.ended(0, run_end::aborted, at(1));
+    held.finishRun(0, run_outcome::aborted, at(1));
     CHECK(held.waiting() == 1);
 }
 
@@ -160,16 +161,16 @@
     open_claims listed { 100, { { "a", 50 }, { "b", 70 } } };
     auto account = token_account::decode("", 0).value();
     CHECK(account.covers(listed));
-    CHECK(account.waiting(listed) == 120);
+    CHECK(account.pendingTokens(listed) == 120);
     // Written at 90: the listing at 100 would show it, so it is finished.
-    account = token_account::decode(account.with("gone", 1000).encode(), 90).value();
-    CHECK(account.waiting(listed) == 120);
-    account = token_account::decode(account.with("b", 80).encode(), 101).value();
-    account = token_account::decode(account.with("c", 200).encode(), 102).value();
+    account = token_account::decode(account.withJob("gone", 1000).encode(), 90).value();
+    CHECK(account.pendingTokens(listed) == 120);
+    account = token_account::decode(account.withJob("b", 80).encode(), 101).value();
+    account = token_account::decode(account.withJob("c", 200).encode(), 102).value();
     CHECK(account.revision() == 102);
-    CHECK(account.waiting(listed) == 320);
+    CHECK(account.pendingTokens(listed) == 320);
     listed = { 102, { { "c", 150 } } };
-    CHECK(account.waiting(listed) == 150);
+    CHECK(account.pendingTokens(listed) == 150);
     CHECK(!token_account::decode("[]", 5));
     CHECK(!token_account::decode("\xff", 5));
 }
@@ -178,11 +179,11 @@
 {
     auto account = token_account::decode("", 0).value();
     for (int i = 1; i <= 200; ++i)
-        account = token_account::decode(account.with("job" + std::to_string(i), 1).encode(), i).value();
+        account = token_account::decode(account.withJob("job" + std::to_string(i), 1).encode(), i).value();
     CHECK(account.encode().size() < 4000);
     CHECK(!account.covers({ 100, {} }));
     CHECK(account.covers({ 150, {} }));
-    CHECK(account.waiting({ 150, {} }) == 50);
+    CHECK(account.pendingTokens({ 150, {} }) == 50);
 }
 
 // Story: two customers submit jobs under the same id. The second is told that its job is accepted, though it
@@ -193,9 +194,9 @@
     const std::vector<std::string> customers { "", "firm", "firm-2", odd, odd + "2", std::string(300, 'x') };
     std::set<std::string> ids;
     for (const auto& customer : customers)
-        ids.insert(jobIdOf(customer, "7c41"));
+        ids.insert(customerScopedId(customer, "7c41"));
     CHECK(ids.size() == customers.size());
-    CHECK(jobIdOf("", "7c41") == "7c41");
+    CHECK(customerScopedId("", "7c41") == "7c41");
     for (const auto& id : ids) {
         CHECK(id.find('/') == std::string::npos);
         CHECK(id.size() < 60);
--- a/libs/bulk_process/include/bulk_process/bulk_process.h
+++ b/libs/bulk_process/include/bulk_process/bulk_process.h
@@ -58,8 +58,8 @@
     /// A submission; the failure names the field.
     virtual result<bulk_record> parseSubmission(const http_request& request) const = 0;
     /// Results from a position on, up to a bound in bytes but at least one if there is one.
-    virtual http_reply writeResults(const bulk_record& record, std::span<const bulk_result> listed,
-        std::size_t after, std::size_t mostBytes) const = 0;
+    virtual http_reply writeResults(const bulk_record& record, std::span<const bulk_result> results,
+        std::size_t after, std::size_t maxBytes) const = 0;
     /// The request for a target that an item stands for.
     virtual http_request itemRequest(const bulk_record& record, const bulk_item& item) const = 0;
     /// Orders among what operators have written.
@@ -84,7 +84,7 @@
 /// A group is written on two conditions: its key is absent, and open/ID has not changed since this process
 /// took the job. So results never change or stand twice, whatever was believed while a process was paused or
 /// a lease had vanished, and a call that is executed late cannot do harm.
-class job_keeper {
+class bulk_job_store {
 public:
     template <typename T> using callback = std::function<void(result<T>)>;
 
@@ -99,7 +99,7 @@
         std::optional<bulk_holder> holder; ///< Of an unfinished job.
         token_claim claim;
         std::int64_t openRevision = 0;
-        bool ended = false; ///< By its caller.
+        bool cancelled = false; ///< By its caller.
     };
 
     enum class commit_result : std::uint8_t {
@@ -111,7 +111,7 @@
         std::string id;
         bulk_holder holder;
         token_claim claim;
-        std::uint64_t tokensLeft = 0; ///< Of the claim, for items without a result.
+        std::uint64_t tokensRemaining = 0; ///< Of the claim, for items without a result.
         std::int64_t revision = 0;
     };
 
@@ -121,43 +121,43 @@
     };
 
     /// `valueBytes` is the largest value that the store takes.
-    job_keeper(event_loop& loop, async_store& store, bulk_holder self, std::size_t valueBytes);
+    bulk_job_store(event_loop& loop, async_store& store, bulk_holder self, std::size_t valueBytes);
 
     /// Creates a job, or finds the one that an earlier submission created: the job is durable when this
     /// reports success. A failure with verdict not_run says that it does not exist and was not created; one
     /// with may_have_run that this is not known. A job that does not fit is refused with too_large.
     void create(const bulk_record& record, token_claim claim, callback<creation> done);
     /// The call that creates a job; its first condition is that there is none. Fails with too_large.
-    result<store_transaction> creationOf(const bulk_record& record, token_claim claim) const;
+    result<store_transaction> makeCreation(const bulk_record& record, token_claim claim) const;
     /// Reads a job; fails with not_found only if the store has just said that there is none.
     void load(const std::string& id, callback<stored_job> done);
-    /// The same of an unfinished job, without progress, for whoever only reads it. `open` is what holderOf()
-    /// or listOpen() has just told of it: the results are read after that, so no holder can have committed
-    /// more before.
+    /// The same of an unfinished job, without progress, for whoever only reads it. `open` is what
+    /// readOpenJob() or listOpen() has just told of it: the results are read after that, so no holder can
+    /// have committed more before.
     void loadResults(const std::string& id, const open_job& open, callback<stored_job> done);
     /// Who holds an unfinished job, and since which revision; nothing if the job is finished, ended or not
     /// there.
-    void holderOf(const std::string& id, callback<std::optional<open_job>> done);
+    void readOpenJob(const std::string& id, callback<std::optional<open_job>> done);
     /// Takes a job whose holder has gone; reports the new revision of open/ID, or 0 if somebody else was
     /// first.
-    void take(const open_job& job, callback<std::int64_t> done);
+    void takeOver(const open_job& job, callback<std::int64_t> done);
     /// A group of results to be committed.
     struct group_commit {
         std::size_t number = 0;
         const bulk_result_group& group;
         std::int64_t openRevision = 0;
         bool completes = false;
-        std::optional<std::uint64_t> tokensLeft; ///< Of the job's claim, if it has one.
+        std::optional<std::uint64_t> tokensRemaining; ///< Of the job's claim, if it has one.
     };
     /// Commits a group, again and again until the outcome is known. A failure means that it is not known yet.
-    void commit(const std::string& id, const group_commit& what, callback<commit_result> done);
+    void commit(const std::string& id, const group_commit& commit, callback<commit_result> done);
     /// The same for a group of one of several jobs.
     struct job_commit {
         std::string id;
-        group_commit what;
+        group_commit commit;
     };
     /// How many of these, from the first on, fit into one call; at least one.
-    std::size_t fitTogether(std::span<const job_commit> jobs) const;
+    std::size_t fittingOneCall(std::span<const job_commit> jobs) const;
     /// Commits groups of several jobs by one call. Reports false if a condition of one of them did not hold:
     /// then none was committed, and each is to be committed alone, which tells what became of it. A failure
     /// means that it is not known; then, too, the same groups are committed again, together or alone.
@@ -169,7 +169,7 @@
         std::string encoded; ///< By encodeItemProgress().
     };
     /// At most so many jobs can be saved by one call.
-    static constexpr std::size_t mostSaves = 15;
+    static constexpr std::size_t maxSavesPerCall = 15;
     /// Saves progress of several jobs by one call. If one of them has been taken by another process, none is
     /// saved.
     void saveProgress(std::span<const progress_save> jobs, callback<bool> done);
@@ -180,7 +180,7 @@
     void remove(const bulk_record& record, std::size_t groups);
 
 private:
-    void settleCreation(
+    void resolveCreation(
         std::shared_ptr<const store_transaction> creating, unsigned attempt, callback<creation> done);
     void readRecord(const std::string& id, callback<bulk_record> done);
     void readParts(const std::string& id, std::shared_ptr<std::string> encoded, std::size_t next,
@@ -189,8 +189,8 @@
     void readGroups(
         std::shared_ptr<stored_job> job, const std::optional<open_job>& open, callback<stored_job> done);
     void readProgress(std::shared_ptr<stored_job> job, callback<stored_job> done);
-    void addCommit(store_transaction& committing, const std::string& id, const group_commit& what) const;
-    void settleCommit(
+    void appendCommit(store_transaction& committing, const std::string& id, const group_commit& commit) const;
+    void resolveCommit(
         const std::string& id, std::size_t number, const std::string& token, callback<commit_result> done);
     void tryEnd(const std::string& id, unsigned attempt, callback<bool> done);
 
--- a/libs/bulk_process/src/job_keeper.cpp
+++ b/libs/bulk_process/src/bulk_job_store.cpp
@@ -13,24 +13,24 @@
 constexpr std::string_view recordPrefix = "yuccachute/job/";
 constexpr std::string_view partPrefix = "yuccachute/part/";
 constexpr std::string_view openPrefix = "yuccachute/open/";
-constexpr std::string_view leftSuffix = "/left"; ///< Ids of jobs hold no slash.
+constexpr std::string_view remainingSuffix = "/left"; ///< Ids of jobs hold no slash.
 constexpr std::string_view resultPrefix = "yuccachute/result/";
 constexpr std::string_view progressPrefix = "yuccachute/progress/";
 constexpr std::string_view endPrefix = "yuccachute/end/";
-constexpr std::string_view completeMark = "complete";
-constexpr std::string_view endedMark = "ended";
+constexpr std::string_view completeMarker = "complete";
+constexpr std::string_view cancelledMarker = "ended";
 /// An unknown outcome is looked into so often before the caller is told that it is unknown.
-constexpr unsigned mostAttempts = 3;
+constexpr unsigned maxOutcomeAttempts = 3;
 /// A job is written by one call, which may have 32 entries: two are its other keys, and a job of 4 MB, the
 /// most that callers may send, has 5 parts in a store that takes 1 MB a value.
-constexpr std::size_t mostParts = 16;
+constexpr std::size_t maxParts = 16;
 /// What a record in parts begins with; others begin with the magic number of their compression.
-constexpr std::string_view partsMark = "parts ";
+constexpr std::string_view partsMarker = "parts ";
 /// Of a value, left for the mark and the number of parts.
 constexpr std::size_t partsHeaderBytes = 32;
-constexpr std::size_t mostEntries = 32; ///< Of one call: conditions, writes and removals together.
-constexpr std::size_t mostEntriesOfCommit = 7; ///< Of the group that completes a job under a limit.
-constexpr std::size_t mostRemovals = mostEntries - 2;
+constexpr std::size_t maxOperationsPerCall = 32; ///< Of one call: conditions, writes and removals together.
+constexpr std::size_t maxOperationsPerCommit = 7; ///< Of the group that completes a job under a limit.
+constexpr std::size_t maxRemovalsPerCall = maxOperationsPerCall - 2;
 
 std::string keyOf(std::string_view prefix, std::string_view id)
 {
@@ -51,7 +51,7 @@
 
 /// Cuts a record into values that the store takes. The first one tells how many there are, unless it is the
 /// only one.
-std::vector<std::string> cutRecord(std::string encoded, std::size_t valueBytes)
+std::vector<std::string> splitRecord(std::string encoded, std::size_t valueBytes)
 {
     if (encoded.size() <= valueBytes)
         return { std::move(encoded) };
@@ -59,12 +59,12 @@
     std::vector<std::string> parts;
     for (std::size_t begin = 0; begin < encoded.size(); begin += each)
         parts.push_back(encoded.substr(begin, each));
-    parts.front().insert(0, std::string(partsMark) + std::to_string(parts.size()) + '\n');
+    parts.front().insert(0, std::string(partsMarker) + std::to_string(parts.size()) + '\n');
     return parts;
 }
 
 /// How many parts may belong to a job: what is not there is removed without harm.
-std::size_t partsAtMost(const bulk_record& record, std::size_t valueBytes)
+std::size_t maxPartsOf(const bulk_record& record, std::size_t valueBytes)
 {
     std::size_t bytes = 0;
     for (const auto& item : record.items) {
@@ -73,32 +73,33 @@
             bytes += name.size() + value.size();
     }
     // Compression makes bodies that are random bytes a little longer.
-    return bytes < valueBytes / 2 ? 0 : std::min(mostParts, 2 + bytes / (valueBytes - partsHeaderBytes));
+    return bytes < valueBytes / 2 ? 0 : std::min(maxParts, 2 + bytes / (valueBytes - partsHeaderBytes));
 }
 
-std::string leftKey(std::string_view id)
+std::string remainingKey(std::string_view id)
 {
-    return keyOf(openPrefix, id).append(leftSuffix);
+    return keyOf(openPrefix, id).append(remainingSuffix);
 }
 
 /// Adds one key of the list of unfinished jobs. What is left of a job's claim stands behind the job itself.
-void addOpen(const stored_value& value, std::vector<job_keeper::open_job>& jobs)
+void appendOpenJob(const stored_value& value, std::vector<bulk_job_store::open_job>& jobs)
 {
     const auto id = std::string_view(value.key).substr(openPrefix.size());
-    if (id.ends_with(leftSuffix)) {
-        const bool known = !jobs.empty() && jobs.back().id == id.substr(0, id.size() - leftSuffix.size());
+    if (id.ends_with(remainingSuffix)) {
+        const bool known
+            = !jobs.empty() && jobs.back().id == id.substr(0, id.size() - remainingSuffix.size());
         const char* end = value.value.data() + value.value.size();
         std::uint64_t left = 0;
         if (known && std::from_chars(value.value.data(), end, left).ec == std::errc())
-            jobs.back().tokensLeft = left;
+            jobs.back().tokensRemaining = left;
         return;
     }
-    auto opening = decodeOpening(value.value);
-    if (!opening)
+    auto openJob = decodeOpenJob(value.value);
+    if (!openJob)
         return logEvent(log_level::error, "holder not understood",
-            { { "key", value.key }, { "message", opening.error().message } });
-    const auto tokens = opening.value().claim.tokens;
-    jobs.push_back({ std::string(id), std::move(opening.value().holder), std::move(opening.value().claim),
+            { { "key", value.key }, { "message", openJob.error().message } });
+    const auto tokens = openJob.value().claim.tokens;
+    jobs.push_back({ std::string(id), std::move(openJob.value().holder), std::move(openJob.value().claim),
         tokens, value.modRevision });
 }
 
@@ -114,7 +115,7 @@
 
 } // namespace
 
-job_keeper::job_keeper(event_loop& loop, async_store& store, bulk_holder self, std::size_t valueBytes)
+bulk_job_store::bulk_job_store(event_loop& loop, async_store& store, bulk_holder self, std::size_t valueBytes)
     : m_loop(loop)
     , m_store(store)
     , m_self(std::move(self))
@@ -122,10 +123,10 @@
 {
 }
 
-result<store_transaction> job_keeper::creationOf(const bulk_record& record, token_claim claim) const
+result<store_transaction> bulk_job_store::makeCreation(const bulk_record& record, token_claim claim) const
 {
-    auto parts = cutRecord(encodeRecord(record), m_valueBytes);
-    if (parts.size() > mostParts)
+    auto parts = splitRecord(encodeRecord(record), m_valueBytes);
+    if (parts.size() > maxParts)
         return notRun(failure_kind::too_large, "the job is larger than the store takes");
     store_transaction creating;
     const auto recordKey = keyOf(recordPrefix, record.id);
@@ -134,20 +135,20 @@
     for (std::size_t number = 1; number < parts.size(); ++number)
         creating.writes.push_back({ partKey(record.id, number), std::move(parts[number]), 0 });
     creating.writes.push_back(
-        { keyOf(openPrefix, record.id), encodeOpening({ m_self, std::move(claim) }), 0 });
+        { keyOf(openPrefix, record.id), encodeOpenJob({ m_self, std::move(claim) }), 0 });
     return creating;
 }
 
-void job_keeper::create(const bulk_record& record, token_claim claim, callback<creation> done)
+void bulk_job_store::create(const bulk_record& record, token_claim claim, callback<creation> done)
 {
-    auto creating = creationOf(record, std::move(claim));
+    auto creating = makeCreation(record, std::move(claim));
     if (!creating)
         return done(creating.error());
-    settleCreation(
+    resolveCreation(
         std::make_shared<const store_transaction>(std::move(creating.value())), 0, std::move(done));
 }
 
-void job_keeper::settleCreation(
+void bulk_job_store::resolveCreation(
     std::shared_ptr<const store_transaction> creating, unsigned attempt, callback<creation> done)
 {
     m_store.commit(
@@ -159,13 +160,13 @@
             const bool unknownBefore = attempt > 0;
             if (outcome.error().ran == verdict::not_run && !unknownBefore)
                 return done(outcome.error());
-            if (attempt + 1 < mostAttempts)
-                return settleCreation(creating, attempt + 1, done);
+            if (attempt + 1 < maxOutcomeAttempts)
+                return resolveCreation(creating, attempt + 1, done);
             done(mayHaveRun(failure_kind::unavailable, "it is not known whether the job was created"));
         });
 }
 
-void job_keeper::load(const std::string& id, callback<stored_job> done)
+void bulk_job_store::load(const std::string& id, callback<stored_job> done)
 {
     readRecord(id, [this, id, done = std::move(done)](result<bulk_record> record) {
         if (!record)
@@ -173,7 +174,7 @@
         auto job = std::make_shared<stored_job>();
         job->record = std::move(record.value());
         // The holder before the results: a holder that is read later could have committed more.
-        holderOf(id, [this, job, done](result<std::optional<open_job>> open) {
+        readOpenJob(id, [this, job, done](result<std::optional<open_job>> open) {
             if (!open)
                 return done(open.error());
             readGroups(job, open.value(), [this, job, done](const result<stored_job>& read) {
@@ -185,7 +186,7 @@
     });
 }
 
-void job_keeper::loadResults(const std::string& id, const open_job& open, callback<stored_job> done)
+void bulk_job_store::loadResults(const std::string& id, const open_job& open, callback<stored_job> done)
 {
     readRecord(id, [this, open, done = std::move(done)](result<bulk_record> record) {
         if (!record)
@@ -196,7 +197,7 @@
     });
 }
 
-void job_keeper::readRecord(const std::string& id, callback<bulk_record> done)
+void bulk_job_store::readRecord(const std::string& id, callback<bulk_record> done)
 {
     m_store.get(keyOf(recordPrefix, id),
         [this, id, done = std::move(done)](result<std::optional<stored_value>> found) {
@@ -205,12 +206,12 @@
             if (!found.value())
                 return done(notRun(failure_kind::not_found, "there is no job " + id));
             std::string_view value = found.value()->value;
-            if (!value.starts_with(partsMark))
+            if (!value.starts_with(partsMarker))
                 return done(decodeBulkRecord(value));
-            value.remove_prefix(partsMark.size());
+            value.remove_prefix(partsMarker.size());
             std::size_t parts = 0;
             const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), parts);
-            if (error != std::errc() || parts > mostParts || end == value.data() + value.size())
+            if (error != std::errc() || parts > maxParts || end == value.data() + value.size())
                 return done(notRun(failure_kind::internal, "the record of job " + id + " is damaged"));
             value.remove_prefix(static_cast<std::size_t>(end - value.data()) + 1);
             readParts(id, std::make_shared<std::string>(value), 1, parts, done);
@@ -218,7 +219,7 @@
 }
 
 /// Parts are written once, together with the record, so they can be read one after the other.
-void job_keeper::readParts(const std::string& id, std::shared_ptr<std::string> encoded, std::size_t next,
+void bulk_job_store::readParts(const std::string& id, std::shared_ptr<std::string> encoded, std::size_t next,
     std::size_t parts, callback<bulk_record> done)
 {
     if (next == parts)
@@ -234,7 +235,7 @@
         });
 }
 
-void job_keeper::holderOf(const std::string& id, callback<std::optional<open_job>> done)
+void bulk_job_store::readOpenJob(const std::string& id, callback<std::optional<open_job>> done)
 {
     m_store.get(
         keyOf(openPrefix, id), [id, done = std::move(done)](result<std::optional<stored_value>> found) {
@@ -242,15 +243,15 @@
                 return done(found.error());
             if (!found.value())
                 return done(std::optional<open_job>());
-            auto opening = decodeOpening(found.value()->value);
-            if (!opening)
-                return done(opening.error());
-            done(std::optional(open_job { id, std::move(opening.value().holder),
-                std::move(opening.value().claim), 0, found.value()->modRevision }));
+            auto openJob = decodeOpenJob(found.value()->value);
+            if (!openJob)
+                return done(openJob.error());
+            done(std::optional(open_job { id, std::move(openJob.value().holder),
+                std::move(openJob.value().claim), 0, found.value()->modRevision }));
         });
 }
 
-void job_keeper::readGroups(
+void bulk_job_store::readGroups(
     std::shared_ptr<stored_job> job, const std::optional<open_job>& open, callback<stored_job> done)
 {
     if (open) {
@@ -271,12 +272,12 @@
                 job->groups.push_back(std::move(group.value()));
             }
             // Neither held nor whole: its caller has ended it.
-            job->ended = !job->holder && results < job->record.items.size();
+            job->cancelled = !job->holder && results < job->record.items.size();
             done(*job);
         });
 }
 
-void job_keeper::readProgress(std::shared_ptr<stored_job> job, callback<stored_job> done)
+void bulk_job_store::readProgress(std::shared_ptr<stored_job> job, callback<stored_job> done)
 {
     m_store.get(keyOf(progressPrefix, job->record.id),
         [job, done = std::move(done)](result<std::optional<stored_value>> found) {
@@ -293,7 +294,7 @@
         });
 }
 
-void job_keeper::saveProgress(std::span<const progress_save> jobs, callback<bool> done)
+void bulk_job_store::saveProgress(std::span<const progress_save> jobs, callback<bool> done)
 {
     store_transaction saving;
     for (const auto& job : jobs) {
@@ -307,12 +308,12 @@
     });
 }
 
-void job_keeper::take(const open_job& job, callback<std::int64_t> done)
+void bulk_job_store::takeOver(const open_job& job, callback<std::int64_t> done)
 {
     store_transaction taking;
     const auto key = keyOf(openPrefix, job.id);
     taking.conditions.push_back(unchanged(key, job.revision));
-    taking.writes.push_back({ key, encodeOpening({ m_self, job.claim }), 0 });
+    taking.writes.push_back({ key, encodeOpenJob({ m_self, job.claim }), 0 });
     m_store.commit(taking, [done = std::move(done)](result<commit_outcome> outcome) {
         if (!outcome)
             return done(outcome.error()); // The next look at the open jobs tells.
@@ -320,33 +321,33 @@
     });
 }
 
-void job_keeper::addCommit(
-    store_transaction& committing, const std::string& id, const group_commit& what) const
+void bulk_job_store::appendCommit(
+    store_transaction& committing, const std::string& id, const group_commit& commit) const
 {
-    committing.conditions.push_back(absent(groupKey(id, what.number)));
-    committing.conditions.push_back(unchanged(keyOf(openPrefix, id), what.openRevision));
-    committing.writes.push_back({ groupKey(id, what.number), encodeGroup(what.group), 0 });
-    if (what.completes) {
-        committing.writes.push_back({ keyOf(endPrefix, id), std::string(completeMark), 0 });
+    committing.conditions.push_back(absent(groupKey(id, commit.number)));
+    committing.conditions.push_back(unchanged(keyOf(openPrefix, id), commit.openRevision));
+    committing.writes.push_back({ groupKey(id, commit.number), encodeGroup(commit.group), 0 });
+    if (commit.completes) {
+        committing.writes.push_back({ keyOf(endPrefix, id), std::string(completeMarker), 0 });
         committing.removals.push_back({ keyOf(openPrefix, id), false });
         committing.removals.push_back({ keyOf(progressPrefix, id), false });
-        if (what.tokensLeft)
-            committing.removals.push_back({ leftKey(id), false });
-    } else if (what.tokensLeft) {
-        committing.writes.push_back({ leftKey(id), std::to_string(*what.tokensLeft), 0 });
+        if (commit.tokensRemaining)
+            committing.removals.push_back({ remainingKey(id), false });
+    } else if (commit.tokensRemaining) {
+        committing.writes.push_back({ remainingKey(id), std::to_string(*commit.tokensRemaining), 0 });
     }
 }
 
-std::size_t job_keeper::fitTogether(std::span<const job_commit> jobs) const
+std::size_t bulk_job_store::fittingOneCall(std::span<const job_commit> jobs) const
 {
-    std::size_t entries = 0;
+    std::size_t operations = 0;
     std::size_t bytes = 0;
     std::size_t fitting = 0;
     for (const auto& job : jobs) {
-        entries += mostEntriesOfCommit;
-        for (const auto& entry : job.what.group.results)
+        operations += maxOperationsPerCommit;
+        for (const auto& entry : job.commit.group.results)
             bytes += entry.text.size();
-        const bool tooMuch = entries > mostEntries || bytes > m_valueBytes / 2;
+        const bool tooMuch = operations > maxOperationsPerCall || bytes > m_valueBytes / 2;
         if (tooMuch && fitting > 0)
             break;
         ++fitting;
@@ -354,11 +355,11 @@
     return fitting;
 }
 
-void job_keeper::commitTogether(std::span<const job_commit> jobs, callback<bool> done)
+void bulk_job_store::commitTogether(std::span<const job_commit> jobs, callback<bool> done)
 {
     store_transaction committing;
     for (const auto& job : jobs)
-        addCommit(committing, job.id, job.what);
+        appendCommit(committing, job.id, job.commit);
     m_store.commit(committing, [done = std::move(done)](result<commit_outcome> outcome) {
         if (!outcome)
             return done(outcome.error());
@@ -366,23 +367,23 @@
     });
 }
 
-void job_keeper::commit(const std::string& id, const group_commit& what, callback<commit_result> done)
+void bulk_job_store::commit(const std::string& id, const group_commit& commit, callback<commit_result> done)
 {
     store_transaction committing;
-    addCommit(committing, id, what);
+    appendCommit(committing, id, commit);
     m_store.commit(committing,
-        [this, id, number = what.number, token = what.group.token, done = std::move(done)](
+        [this, id, number = commit.number, token = commit.group.token, done = std::move(done)](
             result<commit_outcome> outcome) {
             if (!outcome)
                 return done(outcome.error()); // The caller tries the same group again.
             if (outcome.value().applied)
                 return done(commit_result::committed);
-            settleCommit(id, number, token, done);
+            resolveCommit(id, number, token, done);
         });
 }
 
 /// A condition did not hold: either an earlier try of the same commit had taken effect, or the job is lost.
-void job_keeper::settleCommit(
+void bulk_job_store::resolveCommit(
     const std::string& id, std::size_t number, const std::string& token, callback<commit_result> done)
 {
     m_store.get(
@@ -398,17 +399,17 @@
         });
 }
 
-void job_keeper::end(const std::string& id, callback<bool> done)
+void bulk_job_store::end(const std::string& id, callback<bool> done)
 {
     tryEnd(id, 0, std::move(done));
 }
 
-void job_keeper::tryEnd(const std::string& id, unsigned attempt, callback<bool> done)
+void bulk_job_store::tryEnd(const std::string& id, unsigned attempt, callback<bool> done)
 {
     m_store.get(keyOf(openPrefix, id),
         [this, id, attempt, done = std::move(done)](result<std::optional<stored_value>> open) {
             const auto again = [this, id, attempt, done](const failure& error) {
-                if (attempt + 1 < mostAttempts)
+                if (attempt + 1 < maxOutcomeAttempts)
                     return tryEnd(id, attempt + 1, done);
                 done(error);
             };
@@ -423,14 +424,14 @@
                             return done(notRun(failure_kind::not_found, "there is no job " + id));
                         done(true); // It was finished or ended before.
                     });
-            store_transaction ending;
+            store_transaction cancelling;
             const auto openKey = keyOf(openPrefix, id);
-            ending.conditions.push_back(unchanged(openKey, open.value()->modRevision));
-            ending.writes.push_back({ keyOf(endPrefix, id), std::string(endedMark), 0 });
-            ending.removals.push_back({ openKey, false });
-            ending.removals.push_back({ leftKey(id), false });
-            ending.removals.push_back({ keyOf(progressPrefix, id), false });
-            m_store.commit(ending, [done, again](result<commit_outcome> outcome) {
+            cancelling.conditions.push_back(unchanged(openKey, open.value()->modRevision));
+            cancelling.writes.push_back({ keyOf(endPrefix, id), std::string(cancelledMarker), 0 });
+            cancelling.removals.push_back({ openKey, false });
+            cancelling.removals.push_back({ remainingKey(id), false });
+            cancelling.removals.push_back({ keyOf(progressPrefix, id), false });
+            m_store.commit(cancelling, [done, again](result<commit_outcome> outcome) {
                 if (outcome && outcome.value().applied)
                     return done(true);
                 // Another holder has taken it meanwhile, or the outcome is unknown: looking again tells.
@@ -440,7 +441,7 @@
         });
 }
 
-void job_keeper::listOpen(callback<open_jobs> done)
+void bulk_job_store::listOpen(callback<open_jobs> done)
 {
     m_store.list(openPrefix, [done = std::move(done)](result<store_listing> listing) {
         if (!listing)
@@ -448,23 +449,23 @@
         open_jobs open;
         open.revision = listing.value().revision;
         for (const auto& value : listing.value().values)
-            addOpen(value, open.jobs);
+            appendOpenJob(value, open.jobs);
         done(std::move(open));
     });
 }
 
-void job_keeper::remove(const bulk_record& record, std::size_t groups)
+void bulk_job_store::remove(const bulk_record& record, std::size_t groups)
 {
     const auto& id = record.id;
-    std::vector<std::string> keys { keyOf(recordPrefix, id), keyOf(openPrefix, id), leftKey(id),
+    std::vector<std::string> keys { keyOf(recordPrefix, id), keyOf(openPrefix, id), remainingKey(id),
         keyOf(progressPrefix, id), keyOf(endPrefix, id) };
     for (std::size_t number = 0; number < groups; ++number)
         keys.push_back(groupKey(id, number));
-    for (std::size_t number = 1; number < partsAtMost(record, m_valueBytes); ++number)
+    for (std::size_t number = 1; number < maxPartsOf(record, m_valueBytes); ++number)
         keys.push_back(partKey(id, number));
-    for (std::size_t begin = 0; begin < keys.size(); begin += mostRemovals) {
+    for (std::size_t begin = 0; begin < keys.size(); begin += maxRemovalsPerCall) {
         store_transaction removing;
-        for (std::size_t i = begin; i < std::min(begin + mostRemovals, keys.size()); ++i)
+        for (std::size_t i = begin; i < std::min(begin + maxRemovalsPerCall, keys.size()); ++i)
             removing.removals.push_back({ keys[i], false });
         m_store.commit(removing, [id](result<commit_outcome> outcome) {
             if (!outcome)
--- a/libs/bulk_process/src/bulk_process.cpp
+++ b/libs/bulk_process/src/bulk_process.cpp
@@ -11,8 +11,8 @@
 constexpr milliseconds tickInterval { 50 };
 constexpr registration::timing registrationTimes { milliseconds { 2000 }, milliseconds { 400 } };
 constexpr milliseconds stopPoll { 20 };
-constexpr milliseconds endMargin { 1000 };
-constexpr std::size_t keptPerTarget = 24;
+constexpr milliseconds stopMargin { 1000 };
+constexpr std::size_t maxIdleConnectionsPerTarget = 24;
 
 } // namespace
 
@@ -20,22 +20,22 @@
     const std::function<std::unique_ptr<async_store>(http_client&)>& connect)
     : m_settings(settings)
     , m_adapter(adapter)
-    , m_client(m_loop, { keptPerTarget })
+    , m_client(m_loop, { maxIdleConnectionsPerTarget })
     , m_platformStore(connect(m_client))
-    , m_store(*m_platformStore, m_figures)
+    , m_store(*m_platformStore, m_metrics)
     , m_rpc({})
     , m_self(ownRecord(settings))
     , m_loads(m_client, adapter.loads)
-    , m_suspects(m_loop, m_loads, m_figures, m_rpc, m_store, [this] { return m_fleet.otherEntryAddresses(); })
+    , m_suspects(m_loop, m_loads, m_metrics, m_rpc, m_store, [this] { return m_fleet.otherEntryAddresses(); })
     , m_fleet(m_loop, m_store, m_suspects.replicator, adapter.documents, m_self, fleetOptions(settings),
           listeners())
     , m_registration(m_loop, m_store, m_self, registrationTimes)
     , m_broker(m_loop, m_rpc, { m_self.vm, m_self.zone, "" })
     , m_items { m_loop, m_broker, m_client, adapter.callers, m_suspects.guard }
-    , m_keeper(m_loop, m_store, { m_self.vm, m_self.incarnation }, settings.storeValueBytes)
-    , m_lookup(m_loop, m_keeper)
-    , m_admission(m_store, m_keeper)
-    , m_retirement(m_loop, m_store, adapter.jobs, m_self.vm, [this] { retire(); })
+    , m_jobStore(m_loop, m_store, { m_self.vm, m_self.incarnation }, settings.storeValueBytes)
+    , m_lookup(m_loop, m_jobStore)
+    , m_admission(m_store, m_jobStore)
+    , m_retirement(m_loop, m_store, adapter.jobs, m_self.vm, [this] { releaseJobs(); })
     , m_stopTimer(m_loop)
 {
 }
@@ -49,14 +49,15 @@
     m_listener = std::make_unique<http_listener>(
         m_loop, options, [this](std::shared_ptr<http_exchange> caller) { serve(std::move(caller)); });
     if (m_settings.metricsPort != 0)
-        m_metrics = serveMetrics(m_loop, m_settings.address + ':' + std::to_string(m_settings.metricsPort),
-            m_figures, [this] { refreshFigures(); });
+        m_metricsListener
+            = serveMetrics(m_loop, m_settings.address + ':' + std::to_string(m_settings.metricsPort),
+                m_metrics, [this] { refreshMetrics(); });
     m_fleet.start();
     m_fleet.joinFleet();
     m_registration.start();
     m_suspects.archive.load([this] { m_suspects.replicator.publishSnapshot(); });
     m_ticker = std::make_unique<loop_ticker>(m_loop, tickInterval, [this] { tick(); });
-    m_loop.onSignals({ SIGTERM, SIGINT, SIGHUP }, [this](int signal) { signalled(signal); });
+    m_loop.onSignals({ SIGTERM, SIGINT, SIGHUP }, [this](int signal) { handleSignal(signal); });
     logEvent(log_level::info, "started",
         { { "address", m_self.address }, { "store", m_settings.store }, { "zone", m_settings.zone },
             { "incarnation", static_cast<std::int64_t>(m_self.incarnation) } });
@@ -105,16 +106,16 @@
         notifyReaders(held);
     }
     commitDue();
-    const bool unchecked = m_checkedGeneration != m_registration.generation();
+    const bool unchecked = m_reconciledGeneration != m_registration.generation();
     if (time >= m_nextScan || (unchecked && time - m_lastScan >= commitRetry))
         scan();
-    if (time >= m_nextSave)
+    if (time >= m_nextProgressSave)
         saveProgress();
-    pump();
-    removeOld(time);
+    startRuns();
+    removeExpiredJobs(time);
 }
 
-void bulk_process::removeOld(steady_time time)
+void bulk_process::removeExpiredJobs(steady_time time)
 {
     for (auto job = m_jobs.begin(); job != m_jobs.end();) {
         const bool old = time - job->second.acceptedAt > m_settings.resultRetention;
@@ -123,12 +124,12 @@
             continue;
         }
         logEvent(log_level::info, "job removed", { { "job", job->first } });
-        m_keeper.remove(job->second.job->record(), job->second.job->groups());
+        m_jobStore.remove(job->second.job->record(), job->second.job->committedGroups());
         job = m_jobs.erase(job);
     }
 }
 
-void bulk_process::retire()
+void bulk_process::releaseJobs()
 {
     if (m_leaving)
         return;
@@ -143,21 +144,21 @@
 {
     const bool committing
         = std::any_of(m_jobs.begin(), m_jobs.end(), [](const auto& job) { return job.second.committing; });
-    if (committing && now() - m_stopAt < m_settings.grace - endMargin)
+    if (committing && now() - m_stopAt < m_settings.grace - stopMargin)
         return m_stopTimer.arm(stopPoll, [this] { awaitCommits(); });
-    m_retirement.selfEmptied();
+    m_retirement.ownJobsReleased();
     if (m_stopping)
-        m_stopTimer.arm(stopPoll, [this] { stopNow(); });
+        m_stopTimer.arm(stopPoll, [this] { finishStop(); });
 }
 
-void bulk_process::stopNow()
+void bulk_process::finishStop()
 {
     logEvent(log_level::info, "stopped", {});
     m_registration.end();
     m_stopTimer.arm(stopPoll, [this] { m_loop.stop(); });
 }
 
-void bulk_process::signalled(int signal)
+void bulk_process::handleSignal(int signal)
 {
     if (signal == SIGHUP) {
         // The settings that this process uses cannot change while it runs: addresses and limits of its
@@ -171,22 +172,22 @@
     m_stopAt = now();
     logEvent(log_level::info, "stopping", { { "jobs", static_cast<std::int64_t>(m_jobs.size()) } });
     if (m_leaving)
-        return stopNow();
-    retire();
+        return finishStop();
+    releaseJobs();
 }
 
-void bulk_process::refreshFigures()
+void bulk_process::refreshMetrics()
 {
-    const auto& places = m_broker.figures();
-    m_figures.set("yuccachute_place_asks", static_cast<double>(places.asks));
-    m_figures.set("yuccachute_place_grants", static_cast<double>(places.grants));
-    m_figures.set("yuccachute_jobs", static_cast<double>(m_jobs.size()));
-    m_figures.set("yuccachute_item_runs", static_cast<double>(runs()));
-    m_figures.set("yuccachute_log_lines_dropped", static_cast<double>(droppedLogLines()));
-    m_figures.set("yuccachute_store_connected", m_fleet.storeConnected() ? 1 : 0);
-    m_figures.set(
+    const auto& slotStats = m_broker.figures();
+    m_metrics.set("yuccachute_place_asks", static_cast<double>(slotStats.asks));
+    m_metrics.set("yuccachute_place_grants", static_cast<double>(slotStats.grants));
+    m_metrics.set("yuccachute_jobs", static_cast<double>(m_jobs.size()));
+    m_metrics.set("yuccachute_item_runs", static_cast<double>(runs()));
+    m_metrics.set("yuccachute_log_lines_dropped", static_cast<double>(droppedLogLines()));
+    m_metrics.set("yuccachute_store_connected", m_fleet.storeConnected() ? 1 : 0);
+    m_metrics.set(
         "yuccachute_configuration_age_ms", static_cast<double>(m_fleet.configurationAge(now()).count()));
-    m_figures.set("yuccachute_targets_age_ms", static_cast<double>(m_fleet.targetsAge(now()).count()));
+    m_metrics.set("yuccachute_targets_age_ms", static_cast<double>(m_fleet.targetsAge(now()).count()));
 }
 
 int runBulkProcess(const process_settings& settings, const bulk_adapter& adapter,
--- a/libs/bulk_process/src/item_run.cpp
+++ b/libs/bulk_process/src/item_run.cpp
@@ -9,53 +9,54 @@
 /// A wait for a place is begun anew after so long, because another zone may have room by then. With 1 s, 84
 /// of 100 items were on time on days with trouble of a deployment of 18 targets, with 0.4 s 85, for 4% more
 /// processor time.
-constexpr milliseconds placeWait { 400 };
+constexpr milliseconds slotWait { 400 };
 /// A try takes at least so long, so that an item that all dispatchers refuse at once, as they do while they
 /// change, does not ask them thousands of times a second.
-constexpr milliseconds leastTry { 50 };
+constexpr milliseconds minAttemptInterval { 50 };
 /// An item's events come every 20 ms, every 100 ms from a slowed target; a target that is silent for longer
 /// does not work on it.
-constexpr milliseconds silence { 700 };
+constexpr milliseconds idleTimeout { 700 };
 constexpr milliseconds connectTimeout { 300 };
-constexpr unsigned impossibleStatus = 422;
+constexpr unsigned rejectedStatus = 422;
 constexpr unsigned failedStatus = 500;
 
-class placed_run final : public item_run, public std::enable_shared_from_this<placed_run> {
+class item_run_impl final : public item_run, public std::enable_shared_from_this<item_run_impl> {
 public:
-    placed_run(item_services& services, item_order order, item_events events)
+    item_run_impl(item_run_services& services, item_run_request request, item_run_events events)
         : m_services(services)
-        , m_order(std::move(order))
+        , m_request(std::move(request))
         , m_events(std::move(events))
-        , m_pause(services.loop)
+        , m_retryTimer(services.loop)
     {
         m_splitter.collectData();
     }
 
     void start()
     {
-        slot_requirements wanted;
-        wanted.requestId = m_order.itemId;
-        wanted.service = m_order.service;
-        wanted.customer = m_order.customer;
-        wanted.workClass = work_class::bulk;
-        wanted.cost = m_order.cost;
-        wanted.grantDeadline = std::chrono::steady_clock::now() + placeWait;
-        wanted.hold
-            = std::chrono::duration_cast<milliseconds>(m_order.expiry - std::chrono::steady_clock::now());
-        wanted.due = m_order.due;
-        m_askedAt = std::chrono::steady_clock::now();
-        m_ask = m_services.places.acquire(std::move(wanted), [this](result<held_slot> found) {
-            m_ask.reset();
-            if (!found)
-                return unplaced(found.error().message);
-            send(std::move(found.value()));
-        });
+        slot_requirements requirements;
+        requirements.requestId = m_request.itemId;
+        requirements.service = m_request.service;
+        requirements.customer = m_request.customer;
+        requirements.workClass = work_class::bulk;
+        requirements.cost = m_request.cost;
+        requirements.grantDeadline = std::chrono::steady_clock::now() + slotWait;
+        requirements.hold
+            = std::chrono::duration_cast<milliseconds>(m_request.expiry - std::chrono::steady_clock::now());
+        requirements.due = m_request.due;
+        m_slotRequestedAt = std::chrono::steady_clock::now();
+        m_slotAcquisition
+            = m_services.slots.acquire(std::move(requirements), [this](result<held_slot> found) {
+                  m_slotAcquisition.reset();
+                  if (!found)
+                      return slotDenied(found.error().message);
+                  send(std::move(found.value()));
+              });
     }
 
     void stop()
     {
         m_stopped = true;
-        m_ask.reset();
+        m_slotAcquisition.reset();
         if (m_call)
             m_call->cancel();
         m_call.reset();
@@ -65,55 +66,56 @@
     const std::string& target() const override { return m_target; }
 
 private:
-    void unplaced(const std::string& reason)
+    void slotDenied(const std::string& reason)
     {
-        m_pause.armAt(m_askedAt + leastTry, [this, reason] { end(run_end::broken, reason); });
+        m_retryTimer.armAt(m_slotRequestedAt + minAttemptInterval,
+            [this, reason] { end(run_outcome::interrupted, reason); });
     }
 
-    void send(held_slot taken)
+    void send(held_slot slot)
     {
-        m_place = std::move(taken);
-        m_target = m_place->target;
-        m_address = m_place->address;
-        m_services.places.onRevoked(*m_place, [weak = weak_from_this()] {
+        m_slot = std::move(slot);
+        m_target = m_slot->target;
+        m_address = m_slot->address;
+        m_services.slots.onRevoked(*m_slot, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
                 self->revoked();
         });
         target_envelope envelope;
-        envelope.targetId = m_place->target;
-        envelope.lastEvent = m_order.lastEvent;
+        envelope.targetId = m_slot->target;
+        envelope.lastEvent = m_request.lastEvent;
         const auto now = std::chrono::steady_clock::now();
-        envelope.timeLeft = std::chrono::duration_cast<milliseconds>(m_order.expiry - now);
+        envelope.timeLeft = std::chrono::duration_cast<milliseconds>(m_request.expiry - now);
         client_call_options options;
-        options.deadline = m_order.expiry;
+        options.deadline = m_request.expiry;
         options.connectTimeout = connectTimeout;
-        options.idleTimeout = silence;
+        options.idleTimeout = idleTimeout;
         options.acceptUnframed = true;
         client_call_events events;
         events.head = [this](const http_reply& head) {
             m_status = head.status;
             m_framed = !findHeader(head.headers, "Content-Length").empty()
                 || !findHeader(head.headers, "Transfer-Encoding").empty();
-            m_meaning = m_services.callers.classify(head, m_order.itemId);
+            m_meaning = m_services.callers.classify(head, m_request.itemId);
             return m_meaning != answer_meaning::foreign;
         };
-        events.body = [this](std::string_view piece) { return takeBody(piece); };
-        events.whole = [this] { takeWhole(); };
+        events.body = [this](std::string_view piece) { return receiveBody(piece); };
+        events.whole = [this] { responseComplete(); };
         events.failed = [this](const failure& error) {
             m_call.reset();
             if (error.ran != verdict::not_run)
-                tellGuard(error);
-            release(outcomeOfCut());
-            end(run_end::aborted, error.message);
+                reportToGuard(error);
+            release(abortOutcome());
+            end(run_outcome::aborted, error.message);
         };
         if (m_services.guard.hasSuspects())
-            m_recordWhenSent = m_services.guard.record(identityOf(m_order.request, m_order.customer));
-        m_call = m_services.targets.start(m_place->address,
-            m_services.callers.forTarget(m_order.request, envelope), options, std::move(events));
-        m_events.placed();
+            m_recordWhenSent = m_services.guard.record(identityOf(m_request.request, m_request.customer));
+        m_call = m_services.targets.start(m_slot->address,
+            m_services.callers.forTarget(m_request.request, envelope), options, std::move(events));
+        m_events.slotGranted();
     }
 
-    bool takeBody(std::string_view piece)
+    bool receiveBody(std::string_view piece)
     {
         if (m_meaning != answer_meaning::own || m_status != 200)
             return true;
@@ -132,93 +134,93 @@
         return true;
     }
 
-    void takeWhole()
+    void responseComplete()
     {
         m_call.reset();
         if (m_meaning == answer_meaning::not_run) {
             release(grant_outcome::refused);
-            return end(run_end::broken, "the target refused");
+            return end(run_outcome::interrupted, "the target refused");
         }
         if (m_meaning != answer_meaning::own) {
             release(grant_outcome::failed);
-            return end(run_end::broken, "another target has the address");
+            return end(run_outcome::interrupted, "another target has the address");
         }
-        const bool half = m_status == 200 && m_splitter.midEvent();
-        if (!half && m_framed && m_services.guard.hasSuspects())
-            m_services.guard.answered(identityOf(m_order.request, m_order.customer));
-        if (m_status == 200 && !half) {
+        const bool truncated = m_status == 200 && m_splitter.midEvent();
+        if (!truncated && m_framed && m_services.guard.hasSuspects())
+            m_services.guard.answered(identityOf(m_request.request, m_request.customer));
+        if (m_status == 200 && !truncated) {
             release(grant_outcome::ok);
-            return end(run_end::whole, "");
+            return end(run_outcome::completed, "");
         }
         // An item that fails says nothing about its target.
-        release(m_status == 200 ? outcomeOfCut() : grant_outcome::ok);
-        if (m_status == impossibleStatus)
-            return end(run_end::impossible, "the target says that it can never be done");
+        release(m_status == 200 ? abortOutcome() : grant_outcome::ok);
+        if (m_status == rejectedStatus)
+            return end(run_outcome::rejected, "the target says that it can never be done");
         if (m_status == failedStatus)
-            return end(run_end::failed, "the target failed on it");
-        end(run_end::aborted, "status " + std::to_string(m_status));
+            return end(run_outcome::failed, "the target failed on it");
+        end(run_outcome::aborted, "status " + std::to_string(m_status));
     }
 
     /// Live work needs the place: the run stops at its last whole event.
     void revoked()
     {
-        if (m_stopped || !m_place)
+        if (m_stopped || !m_slot)
             return;
         if (m_call)
             m_call->cancel();
         m_call.reset();
         release(grant_outcome::abandoned);
-        end(run_end::broken, "revoked");
+        end(run_outcome::interrupted, "revoked");
     }
 
     /// The target may have ended under this item.
-    void tellGuard(const failure& error)
+    void reportToGuard(const failure& error)
     {
-        const auto identity = identityOf(m_order.request, m_order.customer);
+        const auto identity = identityOf(m_request.request, m_request.customer);
         if (error.kind == failure_kind::timeout)
             m_services.guard.targetUnresponsive(identity, m_recordWhenSent, { m_target, m_address });
         else
             m_services.guard.aborted(identity, m_recordWhenSent, { m_target, m_address }, nullptr);
     }
 
-    grant_outcome outcomeOfCut() const
+    grant_outcome abortOutcome() const
     {
-        return m_order.blameTarget ? grant_outcome::failed : grant_outcome::abandoned;
+        return m_request.chargeTarget ? grant_outcome::failed : grant_outcome::abandoned;
     }
 
     void release(grant_outcome outcome)
     {
-        if (!m_place)
+        if (!m_slot)
             return;
-        m_services.places.release(*m_place, outcome, milliseconds { 0 });
-        m_place.reset();
+        m_services.slots.release(*m_slot, outcome, milliseconds { 0 });
+        m_slot.reset();
     }
 
-    void end(run_end how, std::string reason)
+    void end(run_outcome outcome, std::string reason)
     {
         if (m_stopped)
             return;
         m_stopped = true;
         // Later: the receiver drops this run, which is still at work here.
-        m_services.loop.post([self = shared_from_this(), how, reason = std::move(reason)] {
-            if (const auto report = std::exchange(self->m_events.ended, nullptr))
-                report(how, reason);
+        m_services.loop.post([self = shared_from_this(), outcome, reason = std::move(reason)] {
+            if (const auto report = std::exchange(self->m_events.finished, nullptr))
+                report(outcome, reason);
         });
     }
 
 public:
-    void dropEvents() { m_events.ended = nullptr; }
+    void dropEvents() { m_events.finished = nullptr; }
 
 private:
-    item_services& m_services;
-    item_order m_order;
-    item_events m_events;
-    loop_timer m_pause;
-    steady_time m_askedAt;
+    item_run_services& m_services;
+    item_run_request m_request;
+    item_run_events m_events;
+    loop_timer m_retryTimer;
+    steady_time m_slotRequestedAt;
     event_splitter m_splitter;
-    std::shared_ptr<slot_acquisition> m_ask;
+    std::shared_ptr<slot_acquisition> m_slotAcquisition;
     std::shared_ptr<client_call> m_call;
-    std::optional<held_slot> m_place;
+    std::optional<held_slot> m_slot;
     std::string m_target;
     std::string m_address;
     strike_record m_recordWhenSent; ///< What was known against the item when it was sent.
@@ -228,13 +230,13 @@
     bool m_stopped = false;
 };
 
-class run_owner final : public item_run {
+class item_run_handle final : public item_run {
 public:
-    explicit run_owner(std::shared_ptr<placed_run> run)
+    explicit item_run_handle(std::shared_ptr<item_run_impl> run)
         : m_run(std::move(run))
     {
     }
-    ~run_owner() override
+    ~item_run_handle() override
     {
         m_run->dropEvents();
         m_run->stop();
@@ -242,16 +244,17 @@
     const std::string& target() const override { return m_run->target(); }
 
 private:
-    std::shared_ptr<placed_run> m_run;
+    std::shared_ptr<item_run_impl> m_run;
 };
 
 } // namespace
 
-std::unique_ptr<item_run> runItem(item_services& services, item_order order, item_events events)
+std::unique_ptr<item_run> runItem(
+    item_run_services& services, item_run_request request, item_run_events events)
 {
-    const auto run = std::make_shared<placed_run>(services, std::move(order), std::move(events));
+    const auto run = std::make_shared<item_run_impl>(services, std::move(request), std::move(events));
     run->start();
-    return std::make_unique<run_owner>(run);
+    return std::make_unique<item_run_handle>(run);
 }
 
 } // namespace yuccachute
--- a/libs/bulk_process/src/item_run.h
+++ b/libs/bulk_process/src/item_run.h
@@ -5,21 +5,21 @@
 namespace yuccachute {
 
 /// What the runs of items share.
-struct item_services {
+struct item_run_services {
     event_loop& loop;
-    slot_broker& places;
+    slot_broker& slots;
     http_client& targets;
     const caller_protocol& callers;
     request_guard& guard;
 };
 
 /// What a run reports. `ended` comes exactly once, last, unless the run is dropped.
-struct item_events {
+struct item_run_events {
     /// The run has its place. It comes at most once, not from within runItem().
-    std::function<void()> placed;
+    std::function<void()> slotGranted;
     /// An event of the item's stream; returning false breaks the run off.
     std::function<bool(std::optional<std::uint64_t> id, std::string data)> event;
-    std::function<void(run_end how, std::string_view reason)> ended;
+    std::function<void(run_outcome outcome, std::string_view reason)> finished;
 };
 
 /// One run of an item: finds a place, sends the item, collects its events. Dropping it stops the target's
@@ -30,7 +30,7 @@
     virtual const std::string& target() const = 0;
 };
 
-struct item_order {
+struct item_run_request {
     std::string itemId;
     http_request request;
     std::string service;
@@ -39,9 +39,10 @@
     steady_time due;
     steady_time expiry;
     std::optional<std::uint64_t> lastEvent;
-    bool blameTarget = true; ///< Whether a cut counts against the target's health.
+    bool chargeTarget = true; ///< Whether a cut counts against the target's health.
 };
 
-std::unique_ptr<item_run> runItem(item_services& services, item_order order, item_events events);
+std::unique_ptr<item_run> runItem(
+    item_run_services& services, item_run_request request, item_run_events events);
 
 } // namespace yuccachute
--- a/libs/bulk_process/src/job_calls.cpp
+++ b/libs/bulk_process/src/job_calls.cpp
@@ -8,8 +8,8 @@
 
 /// Own results may be told from memory so long after a renewal of the registration that the store confirmed:
 /// if another process had taken the job since, its results could not be older than that.
-constexpr milliseconds memoryValidity { 1000 };
-constexpr std::size_t mostPageBytes = 900u << 10;
+constexpr milliseconds maxMemoryAge { 1000 };
+constexpr std::size_t maxPageBytes = 900u << 10;
 constexpr unsigned accepted = 202;
 constexpr unsigned badGateway = 502;
 
@@ -21,7 +21,7 @@
     if (!call)
         return submit(std::move(caller));
     const auto customer = findHeader(caller->request().headers, customerHeader);
-    std::visit([&](auto& typed) { typed.jobId = jobIdOf(customer, typed.jobId); }, *call);
+    std::visit([&](auto& typed) { typed.jobId = customerScopedId(customer, typed.jobId); }, *call);
     const bool onlyIfHeld = !findHeader(caller->request().headers, onlyIfHeldHeader).empty();
     const auto& id = std::visit([](const auto& typed) -> const std::string& { return typed.jobId; }, *call);
     if (onlyIfHeld && !m_jobs.contains(id))
@@ -29,7 +29,7 @@
     std::visit([&](const auto& typed) { serve(std::move(caller), typed); }, *call);
 }
 
-void bulk_process::answer(http_exchange& caller, const failure& error)
+void bulk_process::replyWithFailure(http_exchange& caller, const failure& error)
 {
     logEvent(log_level::warning, "job call failed",
         { { "kind", toString(error.kind) }, { "verdict", toString(error.ran) },
@@ -39,7 +39,7 @@
     caller.send({ badGateway, {}, error.message + "\n" });
 }
 
-bool bulk_process::refusedWhileStoreAway(http_exchange& caller)
+bool bulk_process::refuseIfStoreUnavailable(http_exchange& caller)
 {
     if (!m_store.away())
         return false;
@@ -51,23 +51,23 @@
 {
     auto record = m_adapter.jobs.parseSubmission(caller->request());
     if (!record)
-        return answer(*caller, record.error());
+        return replyWithFailure(*caller, record.error());
     if (m_leaving || !m_fleet.configuration())
-        return answer(*caller,
+        return replyWithFailure(*caller,
             notRun(failure_kind::unavailable, m_leaving ? "leaving" : "no configuration is known yet",
                 retryAfter));
     record.value().acceptedMs = wallClockMs();
     record.value().customer = findHeader(caller->request().headers, customerHeader);
-    record.value().id = jobIdOf(record.value().customer, record.value().id);
+    record.value().id = customerScopedId(record.value().customer, record.value().id);
     const auto id = record.value().id;
     const auto known = m_jobs.find(id);
     if (known != m_jobs.end())
         return caller->send({ accepted, {}, "" });
-    if (refusedWhileStoreAway(*caller))
+    if (refuseIfStoreUnavailable(*caller))
         return;
     const auto limit = limitFor(record.value());
     m_admission.create(record.value(), limit,
-        [this, limit, caller, record = record.value(), id](result<job_keeper::creation> created) {
+        [this, limit, caller, record = record.value(), id](result<bulk_job_store::creation> created) {
             if (!created) {
                 logEvent(log_level::warning, "job not accepted",
                     { { "job", id }, { "verdict", toString(created.error().ran) },
@@ -75,14 +75,14 @@
                 auto error = created.error();
                 if (error.kind != failure_kind::too_large && error.kind != failure_kind::limited)
                     error.retryAfter = retryAfter;
-                return answer(*caller, error);
+                return replyWithFailure(*caller, error);
             }
             const auto revision = created.value().openRevision;
             logEvent(log_level::info, "job accepted",
                 { { "job", id }, { "items", static_cast<std::int64_t>(record.items.size()) },
                     { "revision", revision }, { "existed", std::int64_t { revision == 0 } } });
             if (revision != 0)
-                hold({ record, {}, {}, std::nullopt, claimOf(record, limit), revision, false });
+                addHeldJob({ record, {}, {}, std::nullopt, claimOf(record, limit), revision, false });
             else
                 m_nextScan = now(); // It may be an own one, created by a call whose answer was lost.
             caller->send({ accepted, {}, "" });
@@ -92,71 +92,72 @@
 token_limit bulk_process::limitFor(const bulk_record& record) const
 {
     const auto table = m_fleet.configuration();
-    const auto* matched = table->match(record.host, record.items.front().path);
-    if (!matched)
+    const auto* matchedRoute = table->match(record.host, record.items.front().path);
+    if (!matchedRoute)
         return {};
     const auto* customer = table->customers.byName(record.customer);
     const bool ownLimit = customer && customer->maxPendingTokens > 0;
-    return { jobIdOf(record.customer, matched->name),
-        ownLimit ? customer->maxPendingTokens : matched->maxPendingTokens };
+    return { customerScopedId(record.customer, matchedRoute->name),
+        ownLimit ? customer->maxPendingTokens : matchedRoute->maxPendingTokens };
 }
 
-bool bulk_process::current(const held_job& held) const
+bool bulk_process::isCurrent(const held_job& held) const
 {
     if (held.openRevision == 0)
         return true; // Finished or ended: it cannot change any more.
-    return m_checkedGeneration == m_registration.generation()
-        && bootClockNow() - m_registration.lastConfirmed() < memoryValidity;
+    return m_reconciledGeneration == m_registration.generation()
+        && bootClockNow() - m_registration.lastConfirmed() < maxMemoryAge;
 }
 
 void bulk_process::serve(std::shared_ptr<http_exchange> caller, const read_results_call& call)
 {
     const auto found = m_jobs.find(call.jobId);
-    if (found == m_jobs.end() || !current(found->second))
-        return readFromStore(std::move(caller), call);
+    if (found == m_jobs.end() || !isCurrent(found->second))
+        return replyFromStore(std::move(caller), call);
     auto& held = found->second;
-    const bool wait = held.job->listed().size() <= call.after && !held.job->complete() && !held.ended
-        && call.wait.count() > 0;
+    const bool wait = held.job->committedResults().size() <= call.after && !held.job->complete()
+        && !held.cancelled && call.wait.count() > 0;
     if (wait)
         held.readers.push_back({ std::move(caller), call.after, now() + call.wait });
     else
-        answerPage(*caller, held, call.after);
+        replyWithResults(*caller, held, call.after);
 }
 
-void bulk_process::answerPage(http_exchange& caller, const held_job& held, std::size_t after)
+void bulk_process::replyWithResults(http_exchange& caller, const held_job& held, std::size_t after)
 {
-    caller.send(m_adapter.jobs.writeResults(held.job->record(), held.job->listed(), after, mostPageBytes));
+    caller.send(
+        m_adapter.jobs.writeResults(held.job->record(), held.job->committedResults(), after, maxPageBytes));
 }
 
-void bulk_process::readFromStore(std::shared_ptr<http_exchange> caller, const read_results_call& call)
+void bulk_process::replyFromStore(std::shared_ptr<http_exchange> caller, const read_results_call& call)
 {
-    withStored(
+    useStoredJob(
         std::move(caller), call.jobId, [this, after = call.after](http_exchange& to, const bulk_job& job) {
-            to.send(m_adapter.jobs.writeResults(job.record(), job.listed(), after, mostPageBytes));
+            to.send(m_adapter.jobs.writeResults(job.record(), job.committedResults(), after, maxPageBytes));
         });
 }
 
-void bulk_process::withStored(std::shared_ptr<http_exchange> caller, const std::string& id, job_reader use)
+void bulk_process::useStoredJob(std::shared_ptr<http_exchange> caller, const std::string& id, job_reader use)
 {
-    if (refusedWhileStoreAway(*caller))
+    if (refuseIfStoreUnavailable(*caller))
         return;
-    m_lookup.ask(
-        id, [this, caller, id, use = std::move(use)](result<std::optional<job_keeper::open_job>> open) {
+    m_lookup.lookUp(
+        id, [this, caller, id, use = std::move(use)](result<std::optional<bulk_job_store::open_job>> open) {
             if (!open)
-                return answer(*caller, open.error());
+                return replyWithFailure(*caller, open.error());
             const auto known = m_jobs.find(id);
             const bool stillHeld = open.value() && known != m_jobs.end()
                 && known->second.openRevision == open.value()->revision;
             if (stillHeld) // Nobody else can have committed anything.
                 return use(*caller, *known->second.job);
-            const auto address = open.value() ? liveHolder(open.value()->holder) : std::string();
+            const auto address = open.value() ? addressOfLiveHolder(open.value()->holder) : std::string();
             if (!address.empty())
                 return caller->send({ 503, { { std::string(jobHolderHeader), address } }, "" });
-            loadFor(caller, id, open.value(), use);
+            loadForCaller(caller, id, open.value(), use);
         });
 }
 
-std::string bulk_process::liveHolder(const bulk_holder& holder) const
+std::string bulk_process::addressOfLiveHolder(const bulk_holder& holder) const
 {
     for (const auto& node : m_fleet.registered(node_role::batch)) {
         if (node.vm == holder.vm && node.incarnation == holder.incarnation && node.vm != m_self.vm)
@@ -165,28 +166,28 @@
     return {};
 }
 
-void bulk_process::loadFor(std::shared_ptr<http_exchange> caller, const std::string& id,
-    const std::optional<job_keeper::open_job>& open, job_reader use)
+void bulk_process::loadForCaller(std::shared_ptr<http_exchange> caller, const std::string& id,
+    const std::optional<bulk_job_store::open_job>& open, job_reader use)
 {
-    const auto tell = [this, caller, id, use = std::move(use)](result<job_keeper::stored_job> stored) {
+    const auto reply = [this, caller, id, use = std::move(use)](result<bulk_job_store::stored_job> stored) {
         if (!stored)
-            return answer(*caller, stored.error());
+            return replyWithFailure(*caller, stored.error());
         const bool final = !stored.value().holder;
-        auto made = build(std::move(stored.value()));
+        auto made = makeHeldJob(std::move(stored.value()));
         use(*caller, *made.job);
         // What is final is kept: it will be asked for again.
         if (final)
             m_jobs.emplace(id, std::move(made));
     };
     if (open)
-        return m_keeper.loadResults(id, *open, tell);
+        return m_jobStore.loadResults(id, *open, reply);
     // Not listed, it is finished, or was created since: its holder is read anew, after the record.
-    m_keeper.load(id, tell);
+    m_jobStore.load(id, reply);
 }
 
 void bulk_process::serve(std::shared_ptr<http_exchange> caller, const read_item_body_call& call)
 {
-    const auto tell = [itemId = call.itemId](http_exchange& to, const bulk_job& job) {
+    const auto reply = [itemId = call.itemId](http_exchange& to, const bulk_job& job) {
         for (const auto& item : job.record().items) {
             if (item.id == itemId)
                 return to.send({ 200, { { "Content-Type", "application/octet-stream" } }, item.body });
@@ -195,22 +196,22 @@
     };
     const auto found = m_jobs.find(call.jobId);
     if (found != m_jobs.end())
-        return tell(*caller, *found->second.job);
-    withStored(std::move(caller), call.jobId, tell);
+        return reply(*caller, *found->second.job);
+    useStoredJob(std::move(caller), call.jobId, reply);
 }
 
 void bulk_process::serve(std::shared_ptr<http_exchange> caller, const cancel_job_call& call)
 {
-    if (refusedWhileStoreAway(*caller))
+    if (refuseIfStoreUnavailable(*caller))
         return;
-    m_keeper.end(call.jobId, [this, caller, id = call.jobId](result<bool> ended) {
-        if (!ended)
-            return answer(*caller, ended.error());
+    m_jobStore.end(call.jobId, [this, caller, id = call.jobId](result<bool> cancelled) {
+        if (!cancelled)
+            return replyWithFailure(*caller, cancelled.error());
         logEvent(log_level::info, "job ended by its caller", { { "job", id } });
         // Not kept as final: a commit whose answer was lost may have listed results that are not known here,
         // and whoever has read them elsewhere must find them again.
         if (const auto found = m_jobs.find(id); found != m_jobs.end())
-            dropJob(found);
+            dropHeldJob(found);
         caller->send({ 200, {}, "" });
     });
 }
--- a/libs/bulk_process/src/job_commits.cpp
+++ b/libs/bulk_process/src/job_commits.cpp
@@ -10,7 +10,7 @@
 /// Results are committed together: each commit is a priced call, and a caller asks twice a second. What is
 /// not committed when its process is killed or cut off runs again as a whole: with 900 ms 84 of 100 items
 /// were on time on days with trouble of a deployment of 18 targets, with 500 ms 87, for 3% more calls.
-constexpr milliseconds commitAge { 500 };
+constexpr milliseconds maxCommitDelay { 500 };
 
 std::string randomToken()
 {
@@ -25,7 +25,7 @@
 bool bulk_process::mayCommit(const held_job& held, steady_time time) const
 {
     return !held.committing && held.openRevision != 0 && held.job->uncommitted() > 0
-        && time >= held.nextCommit;
+        && time >= held.nextCommitAt;
 }
 
 /// When the results of one job are due, those of the others travel with them: with each job's in a call of
@@ -39,11 +39,11 @@
         auto& held = job->second;
         if (!mayCommit(held, time))
             continue;
-        const bool all
-            = held.job->uncommitted() + held.job->listed().size() == held.job->record().items.size();
-        due = due || all || time - held.job->uncommittedSince() >= commitAge;
-        if (held.commitAlone)
-            commitAlone(job->first, held);
+        const bool all = held.job->uncommitted() + held.job->committedResults().size()
+            == held.job->record().items.size();
+        due = due || all || time - held.job->uncommittedSince() >= maxCommitDelay;
+        if (held.mustCommitSeparately)
+            commitSeparately(job->first, held);
         else
             together.push_back(job);
     }
@@ -51,80 +51,81 @@
         commitTogether(together);
 }
 
-job_keeper::group_commit bulk_process::nextCommit(held_job& held) const
+bulk_job_store::group_commit bulk_process::makeCommit(held_job& held) const
 {
     const auto& group = held.job->nextGroup(randomToken());
-    std::optional<std::uint64_t> tokensLeft;
+    std::optional<std::uint64_t> tokensRemaining;
     if (!held.claim.route.empty())
-        tokensLeft = held.job->tokensLeftAfter(group);
-    return { held.job->groups(), group, held.openRevision, held.job->completes(group), tokensLeft };
+        tokensRemaining = held.job->tokensRemainingAfter(group);
+    return { held.job->committedGroups(), group, held.openRevision, held.job->completes(group),
+        tokensRemaining };
 }
 
-void bulk_process::commitAlone(const std::string& id, held_job& held)
+void bulk_process::commitSeparately(const std::string& id, held_job& held)
 {
     held.committing = true;
-    m_keeper.commit(id, nextCommit(held),
+    m_jobStore.commit(id, makeCommit(held),
         [this, id, revision = held.openRevision](
-            result<job_keeper::commit_result> outcome) { committed(id, revision, outcome); });
+            result<bulk_job_store::commit_result> outcome) { commitFinished(id, revision, outcome); });
 }
 
 void bulk_process::commitTogether(std::span<const job_map::iterator> jobs)
 {
-    std::vector<job_keeper::job_commit> commits;
+    std::vector<bulk_job_store::job_commit> commits;
     for (const auto& job : jobs) {
         job->second.committing = true;
-        commits.push_back({ job->first, nextCommit(job->second) });
+        commits.push_back({ job->first, makeCommit(job->second) });
     }
-    for (std::span<const job_keeper::job_commit> rest = commits; !rest.empty();) {
-        const auto part = rest.first(m_keeper.fitTogether(rest));
+    for (std::span<const bulk_job_store::job_commit> rest = commits; !rest.empty();) {
+        const auto part = rest.first(m_jobStore.fittingOneCall(rest));
         rest = rest.subspan(part.size());
         std::vector<std::pair<std::string, std::int64_t>> sent;
         for (const auto& one : part)
-            sent.emplace_back(one.id, one.what.openRevision);
-        m_keeper.commitTogether(part, [this, sent = std::move(sent)](const result<bool>& outcome) {
+            sent.emplace_back(one.id, one.commit.openRevision);
+        m_jobStore.commitTogether(part, [this, sent = std::move(sent)](const result<bool>& outcome) {
             for (const auto& [id, revision] : sent)
-                committedTogether(id, revision, outcome);
+                jointCommitFinished(id, revision, outcome);
         });
     }
 }
 
-void bulk_process::committedTogether(
+void bulk_process::jointCommitFinished(
     const std::string& id, std::int64_t revision, const result<bool>& outcome)
 {
     if (!outcome)
-        return committed(id, revision, outcome.error());
+        return commitFinished(id, revision, outcome.error());
     if (outcome.value())
-        return committed(id, revision, job_keeper::commit_result::committed);
+        return commitFinished(id, revision, bulk_job_store::commit_result::committed);
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end() || found->second.openRevision != revision)
         return;
     found->second.committing = false;
-    found->second.commitAlone = true;
+    found->second.mustCommitSeparately = true;
 }
 
-void bulk_process::committed(
-    const std::string& id, std::int64_t revision, const result<job_keeper::commit_result>& outcome)
+void bulk_process::commitFinished(
+    const std::string& id, std::int64_t revision, const result<bulk_job_store::commit_result>& outcome)
 {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end() || found->second.openRevision != revision)
         return; // Dropped, ended or taken anew meanwhile.
     auto& held = found->second;
     held.committing = false;
-    held.commitAlone = false;
+    held.mustCommitSeparately = false;
     if (!outcome) {
         logEvent(log_level::warning, "results not committed",
             { { "job", id }, { "message", outcome.error().message } });
-        held.nextCommit = now() + commitRetry;
+        held.nextCommitAt = now() + commitRetry;
         return;
     }
-    if (outcome.value() == job_keeper::commit_result::lost) {
+    if (outcome.value() == bulk_job_store::commit_result::lost) {
         logEvent(log_level::warning, "job lost", { { "job", id }, { "revision", revision } });
-        dropJob(found);
+        dropHeldJob(found);
         m_nextScan = now();
         return;
     }
     const auto group = held.job->nextGroup("");
-    held.job->committed(group);
+    held.job->addCommitted(group);
     for (const auto& entry : group.results)
         logEvent(entry.done ? log_level::info : log_level::warning, "item listed",
             { { "job", id }, { "item", held.job->record().items[entry.index].id },
--- a/libs/bulk_process/src/job_runs.cpp
+++ b/libs/bulk_process/src/job_runs.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 /// Runs and asks for places at once; each costs a few kilobytes.
-constexpr std::size_t mostRuns = 160;
+constexpr std::size_t maxRuns = 160;
 /// Of these, items that wait for a place; the first ones by due time. As soon as one has its place the next
 /// asks, within a few milliseconds, so this many fill thousands of slots a second when a live peak ends. With
 /// all items asking, 1,000 of them at a peak would be 12,000 asks a second,
 /// which the dispatchers answer in place of live requests.
-constexpr std::size_t mostWaiting = 24;
+constexpr std::size_t maxRunsWithoutSlot = 24;
 /// When items are given up whose route names no expiry.
 constexpr std::chrono::hours defaultExpiry { 24 };
 /// An item that ends its targets waits so long before each further run. It cannot be refused as a live
 /// request is, since it was accepted, nor be given up before it expires; a few ends until then are the price
 /// of a wrong suspicion costing an item no more than this.
-constexpr milliseconds heldBackFor { 20000 };
+constexpr milliseconds suspectedItemDelay { 20000 };
 
 } // namespace
 
@@ -27,25 +27,25 @@
     bulk_limits limits;
     limits.expiry = now() + defaultExpiry;
     const auto table = m_fleet.configuration();
-    const auto* matched
+    const auto* matchedRoute
         = table && !record.items.empty() ? table->match(record.host, record.items.front().path) : nullptr;
-    if (!matched)
+    if (!matchedRoute)
         return limits;
-    limits.maxAttempts = std::max(1u, matched->maxAttempts);
-    if (matched->expiry.count() > 0)
-        limits.expiry = now() + matched->expiry - age;
+    limits.maxAttempts = std::max(1u, matchedRoute->maxAttempts);
+    if (matchedRoute->expiry.count() > 0)
+        limits.expiry = now() + matchedRoute->expiry - age;
     return limits;
 }
 
 steady_time bulk_process::dueOf(const bulk_record& record, milliseconds age) const
 {
     const auto table = m_fleet.configuration();
-    const auto* matched
+    const auto* matchedRoute
         = table && !record.items.empty() ? table->match(record.host, record.items.front().path) : nullptr;
-    return now() + (matched ? matched->completionWindow : milliseconds { 0 }) - age;
+    return now() + (matchedRoute ? matchedRoute->completionWindow : milliseconds { 0 }) - age;
 }
 
-held_job bulk_process::build(job_keeper::stored_job stored)
+held_job bulk_process::makeHeldJob(bulk_job_store::stored_job stored)
 {
     // Clocks of VMs differ, and may jump: an age is believed only as far as it is possible.
     const auto age = std::clamp(milliseconds { wallClockMs() - stored.record.acceptedMs }, milliseconds { 0 },
@@ -53,31 +53,31 @@
     held_job held;
     held.openRevision = stored.holder || stored.openRevision != 0 ? stored.openRevision : 0;
     held.claim = stored.claim;
-    held.ended = stored.ended;
+    held.cancelled = stored.cancelled;
     held.acceptedAt = now() - age;
     const auto limits = limitsOf(stored.record, age);
     const auto due = dueOf(stored.record, age);
     held.job = std::make_unique<bulk_job>(std::move(stored.record), limits, due);
     for (const auto& group : stored.groups)
-        held.job->committed(group);
+        held.job->addCommitted(group);
     held.job->restore(std::move(stored.progress));
-    held.eventsSaved = held.job->eventsHeld();
+    held.eventsSaved = held.job->bufferedEvents();
     return held;
 }
 
-void bulk_process::hold(job_keeper::stored_job stored)
+void bulk_process::addHeldJob(bulk_job_store::stored_job stored)
 {
     const auto id = stored.record.id;
     const auto known = m_jobs.find(id);
     if (known != m_jobs.end() && known->second.openRevision >= stored.openRevision)
         return;
     if (known != m_jobs.end())
-        dropJob(known);
-    m_jobs.emplace(id, build(std::move(stored)));
-    pump();
+        dropHeldJob(known);
+    m_jobs.emplace(id, makeHeldJob(std::move(stored)));
+    startRuns();
 }
 
-void bulk_process::dropJob(job_map::iterator job)
+void bulk_process::dropHeldJob(job_map::iterator job)
 {
     for (auto& reader : job->second.readers)
         refuse(*reader.caller, notRun(failure_kind::unavailable, "the job changes hands", retryAfter));
@@ -89,11 +89,11 @@
     std::vector<waiting_reader> kept;
     const auto time = now();
     for (auto& reader : held.readers) {
-        const bool told = held.job->listed().size() > reader.after || reader.until <= time;
-        if (!told)
+        const bool due = held.job->committedResults().size() > reader.after || reader.until <= time;
+        if (!due)
             kept.push_back(std::move(reader));
-        else if (current(held))
-            answerPage(*reader.caller, held, reader.after);
+        else if (isCurrent(held))
+            replyWithResults(*reader.caller, held, reader.after);
         else
             refuse(
                 *reader.caller, notRun(failure_kind::unavailable, "the store is not in reach", retryAfter));
@@ -109,7 +109,7 @@
     return count;
 }
 
-std::size_t bulk_process::waitingRuns() const
+std::size_t bulk_process::runsWithoutSlot() const
 {
     std::size_t count = 0;
     for (const auto& [id, held] : m_jobs)
@@ -118,7 +118,7 @@
     return count;
 }
 
-void bulk_process::pump()
+void bulk_process::startRuns()
 {
     if (m_leaving)
         return;
@@ -127,35 +127,35 @@
         return;
     std::vector<held_job*> order;
     for (auto& [id, held] : m_jobs) {
-        if (held.openRevision != 0 && !held.ended && held.job->waiting() > 0)
+        if (held.openRevision != 0 && !held.cancelled && held.job->waiting() > 0)
             order.push_back(&held);
     }
     std::sort(order.begin(), order.end(), [this, time = now()](const auto* left, const auto* right) {
-        const bool leftHopeless = hopeless(*left->job, time);
-        if (leftHopeless != hopeless(*right->job, time))
-            return !leftHopeless;
+        const bool leftWillMiss = willMissDeadline(*left->job, time);
+        if (leftWillMiss != willMissDeadline(*right->job, time))
+            return !leftWillMiss;
         return left->job->due() < right->job->due();
     });
     auto running = runs();
-    auto waiting = waitingRuns();
+    auto waiting = runsWithoutSlot();
     for (auto* held : order) {
-        while (running < mostRuns && waiting < mostWaiting && startItem(*held, *table)) {
+        while (running < maxRuns && waiting < maxRunsWithoutSlot && startItem(*held, *table)) {
             ++running;
             ++waiting;
         }
     }
 }
 
-bool bulk_process::hopeless(const bulk_job& job, steady_time time) const
+bool bulk_process::willMissDeadline(const bulk_job& job, steady_time time) const
 {
-    const double left = m_meanRunMs - static_cast<double>(job.nextProgress()) * m_meanEventMs;
+    const double left = m_meanRunMs - static_cast<double>(job.nextItemEvents()) * m_meanEventMs;
     return job.due() < time + milliseconds { static_cast<std::int64_t>(std::max(0.0, left)) };
 }
 
-void bulk_process::noteRun(const run_figures& run)
+void bulk_process::updateMeanDurations(const run_statistics& run)
 {
     constexpr double keep = 0.9;
-    const double took = std::chrono::duration<double, std::milli>(now() - run.begun).count();
+    const double took = std::chrono::duration<double, std::milli>(now() - run.firstEventAt).count();
     if (run.events == 0)
         return;
     m_meanRunMs = keep * m_meanRunMs + (1 - keep) * took;
@@ -168,88 +168,91 @@
     if (job.waiting() == 0)
         return false;
     const auto& record = job.record();
-    const auto* matched = table.match(record.host, record.items.front().path);
-    if (!matched) {
+    const auto* matchedRoute = table.match(record.host, record.items.front().path);
+    if (!matchedRoute) {
         logEvent(log_level::warning, "route of a job is gone",
             { { "job", record.id }, { "config", table.version } });
-        job.giveUpWaiting(now());
+        job.abandonWaiting(now());
         return false;
     }
-    const bool late = hopeless(job, now());
+    const bool late = willMissDeadline(job, now());
     const auto next = job.next();
     const auto& item = record.items[next->index];
-    item_order order;
-    order.itemId = item.id;
-    order.request = m_adapter.jobs.itemRequest(record, item);
-    order.customer = record.customer.empty() ? matched->name : record.customer;
-    if (heldBack(held, next->index, order))
+    item_run_request request;
+    request.itemId = item.id;
+    request.request = m_adapter.jobs.itemRequest(record, item);
+    request.customer = record.customer.empty() ? matchedRoute->name : record.customer;
+    if (deferSuspectedItem(held, next->index, request))
         return true;
-    order.service = matched->pickService(std::hash<std::string> {}(item.id));
-    order.cost = static_cast<double>(item.tokens);
+    request.service = matchedRoute->pickService(std::hash<std::string> {}(item.id));
+    request.cost = static_cast<double>(item.tokens);
     // To dispatchers a hopeless item is overdue already.
-    order.due = late ? now() : job.due();
-    order.expiry = now() + defaultRunTime;
-    order.lastEvent = next->lastEvent;
-    const auto cuts = held.cuts.find(next->index);
-    order.blameTarget = cuts == held.cuts.end() || cuts->second < cutsBlamedOnTargets;
-    item_events events;
-    events.placed = [this] { pump(); };
+    request.due = late ? now() : job.due();
+    request.expiry = now() + defaultRunTime;
+    request.lastEvent = next->lastEvent;
+    const auto aborts = held.consecutiveAborts.find(next->index);
+    request.chargeTarget
+        = aborts == held.consecutiveAborts.end() || aborts->second < maxAbortsChargedToTarget;
+    item_run_events events;
+    events.slotGranted = [this] { startRuns(); };
     const auto id = record.id;
     const auto index = next->index;
-    const auto figures = std::make_shared<run_figures>();
-    events.event = [this, id, index, figures](std::optional<std::uint64_t> event, std::string data) {
-        if (figures->events++ == 0)
-            figures->begun = now();
+    const auto statistics = std::make_shared<run_statistics>();
+    events.event = [this, id, index, statistics](std::optional<std::uint64_t> event, std::string data) {
+        if (statistics->events++ == 0)
+            statistics->firstEventAt = now();
         const auto found = m_jobs.find(id);
         if (found != m_jobs.end())
-            found->second.cuts.erase(index);
-        return found != m_jobs.end() && found->second.job->event(index, event, std::move(data));
+            found->second.consecutiveAborts.erase(index);
+        return found != m_jobs.end() && found->second.job->addEvent(index, event, std::move(data));
     };
-    events.ended
-        = [this, id, index, figures, fresh = !next->lastEvent](run_end how, std::string_view reason) {
-              if (how == run_end::whole && fresh)
-                  noteRun(*figures);
-              itemEnded(id, index, how, reason);
-          };
-    held.runs[index] = runItem(m_items, std::move(order), std::move(events));
+    events.finished = [this, id, index, statistics, fresh = !next->lastEvent](
+                          run_outcome outcome, std::string_view reason) {
+        if (outcome == run_outcome::completed && fresh)
+            updateMeanDurations(*statistics);
+        runFinished(id, index, outcome, reason);
+    };
+    held.runs[index] = runItem(m_items, std::move(request), std::move(events));
     return true;
 }
 
-bool bulk_process::heldBack(held_job& held, std::uint32_t index, const item_order& order)
+bool bulk_process::deferSuspectedItem(held_job& held, std::uint32_t index, const item_run_request& request)
 {
     auto& guard = m_suspects.guard;
     if (!guard.hasSuspects())
         return false;
-    const auto identity = identityOf(order.request, order.customer);
+    const auto identity = identityOf(request.request, request.customer);
     if (guard.known().statusOf(identity, now()) != quarantine::status::refused)
         return false;
-    if (held.waitedOut.erase(index) > 0)
+    if (held.suspectDelayPassed.erase(index) > 0)
         return false;
-    held.waitedOut.insert(index);
+    held.suspectDelayPassed.insert(index);
     const auto& record = held.job->record();
     logEvent(log_level::warning, "item held back",
         { { "job", record.id }, { "item", record.items[index].id }, { "identity", toString(identity) },
             { "strikes", std::int64_t { guard.record(identity).strikes } },
-            { "for_ms", heldBackFor.count() } });
-    putBack(record.id, index, run_end::broken, heldBackFor);
+            { "for_ms", suspectedItemDelay.count() } });
+    requeueItem(record.id, index, run_outcome::interrupted, suspectedItemDelay);
     return true;
 }
 
-void bulk_process::putBack(const std::string& id, std::uint32_t index, run_end how, milliseconds pause)
+void bulk_process::requeueItem(
+    const std::string& id, std::uint32_t index, run_outcome outcome, milliseconds delay)
 {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end())
         return;
-    if (pause.count() == 0)
-        return found->second.job->ended(index, how, now());
-    auto& timer = found->second.pauses.try_emplace(index, m_loop).first->second;
-    timer.arm(pause, [this, id, index, how] {
-        putBack(id, index, how, milliseconds { 0 });
-        pump();
+    if (delay.count() == 0)
+        return found->second.job->finishRun(index, outcome, now());
+    auto& timer = found->second.requeueTimers.try_emplace(index, m_loop).first->second;
+    timer.arm(delay, [this, id, index, outcome] {
+        requeueItem(id, index, outcome, milliseconds { 0 });
+        startRuns();
     });
 }
 
-void bulk_process::itemEnded(const std::string& id, std::uint32_t index, run_end how, std::string_view reason)
+void bulk_process::runFinished(
+    const std::string& id, std::uint32_t index, run_outcome outcome, std::string_view reason)
 {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end())
@@ -257,21 +260,22 @@
     auto& held = found->second;
     const auto run = held.runs.find(index);
     const std::string target = run == held.runs.end() ? "" : run->second->target();
-    const bool placed = !target.empty();
+    const bool hadSlot = !target.empty();
     held.runs.erase(index);
-    putBack(
-        id, index, how, how == run_end::aborted ? pauseAfterCuts(++held.cuts[index]) : milliseconds { 0 });
-    m_figures.count("yuccachute_item_runs_total", "end",
-        how == run_end::whole         ? "whole"
-            : how == run_end::broken  ? (placed ? "broken" : "no place")
-            : how == run_end::aborted ? "cut"
-            : how == run_end::failed  ? "failed"
-                                      : "impossible");
-    if (placed)
-        logEvent(how == run_end::whole ? log_level::info : log_level::warning, "item run",
+    requeueItem(id, index, outcome,
+        outcome == run_outcome::aborted ? retryDelayAfterAborts(++held.consecutiveAborts[index])
+                                        : milliseconds { 0 });
+    m_metrics.count("yuccachute_item_runs_total", "end",
+        outcome == run_outcome::completed         ? "whole"
+            : outcome == run_outcome::interrupted ? (hadSlot ? "broken" : "no place")
+            : outcome == run_outcome::aborted     ? "cut"
+            : outcome == run_outcome::failed      ? "failed"
+                                                  : "impossible");
+    if (hadSlot)
+        logEvent(outcome == run_outcome::completed ? log_level::info : log_level::warning, "item run",
             { { "job", id }, { "item", held.job->record().items[index].id }, { "target", target },
-                { "end", static_cast<std::int64_t>(how) }, { "reason", reason } });
-    pump();
+                { "end", static_cast<std::int64_t>(outcome) }, { "reason", reason } });
+    startRuns();
 }
 
 } // namespace yuccachute
--- a/libs/bulk_process/src/job_takeover.cpp
+++ b/libs/bulk_process/src/job_takeover.cpp
@@ -18,20 +18,21 @@
         return;
     m_scanning = true;
     m_lastScan = now();
-    m_keeper.listOpen([this, generation = m_registration.generation()](result<job_keeper::open_jobs> open) {
-        m_scanning = false;
-        m_nextScan = now() + scanInterval;
-        if (!open)
-            return;
-        m_admission.listed(open.value(), now());
-        compare(open.value());
-        // A frozen process wakes, registers anew and believes that it holds what another has taken
-        // meanwhile: from here on it knows what it holds under this registration.
-        m_checkedGeneration = generation;
-    });
+    m_jobStore.listOpen(
+        [this, generation = m_registration.generation()](result<bulk_job_store::open_jobs> open) {
+            m_scanning = false;
+            m_nextScan = now() + scanInterval;
+            if (!open)
+                return;
+            m_admission.updateListing(open.value(), now());
+            reconcile(open.value());
+            // A frozen process wakes, registers anew and believes that it holds what another has taken
+            // meanwhile: from here on it knows what it holds under this registration.
+            m_reconciledGeneration = generation;
+        });
 }
 
-void bulk_process::compare(const job_keeper::open_jobs& open)
+void bulk_process::reconcile(const bulk_job_store::open_jobs& open)
 {
     std::set<std::string, std::less<>> listed;
     for (const auto& job : open.jobs) {
@@ -44,12 +45,12 @@
             && !mine) {
             logEvent(log_level::warning, "job taken by another",
                 { { "job", job.id }, { "holder", job.holder.vm }, { "revision", job.revision } });
-            dropJob(held);
+            dropHeldJob(held);
             continue;
         }
         if (mine && !m_leaving)
-            loadOwn(job);
-        else if (!mine && mayTake(job))
+            loadOwnJob(job);
+        else if (!mine && shouldTakeOver(job))
             takeOver(job);
     }
     for (auto job = m_jobs.begin(); job != m_jobs.end();) {
@@ -62,13 +63,13 @@
         // Its caller has ended it, or another process has taken and finished it while this one was
         // frozen. Only the store knows its results.
         logEvent(log_level::info, "job finished elsewhere", { { "job", current->first } });
-        dropJob(current);
+        dropHeldJob(current);
     }
 }
 
-bool bulk_process::mayTake(const job_keeper::open_job& job) const
+bool bulk_process::shouldTakeOver(const bulk_job_store::open_job& job) const
 {
-    if (m_leaving || !m_fleet.nodeListReliable(now()) || m_taking.contains(job.id))
+    if (m_leaving || !m_fleet.nodeListReliable(now()) || m_loadingJobs.contains(job.id))
         return false;
     auto nodes = m_fleet.registered(node_role::batch);
     const bool holderLives = std::any_of(nodes.begin(), nodes.end(), [&](const auto& node) {
@@ -84,24 +85,24 @@
     return first->vm == m_self.vm;
 }
 
-void bulk_process::takeOver(const job_keeper::open_job& job)
+void bulk_process::takeOver(const bulk_job_store::open_job& job)
 {
     logEvent(log_level::info, "job without holder",
         { { "job", job.id }, { "holder", job.holder.vm }, { "revision", job.revision } });
-    m_taking.insert(job.id);
-    m_keeper.take(job, [this, id = job.id](result<std::int64_t> revision) {
-        m_taking.erase(id);
+    m_loadingJobs.insert(job.id);
+    m_jobStore.takeOver(job, [this, id = job.id](result<std::int64_t> revision) {
+        m_loadingJobs.erase(id);
         if (revision && revision.value() != 0)
-            loadOwn({ id, {}, {}, 0, revision.value() });
+            loadOwnJob({ id, {}, {}, 0, revision.value() });
     });
 }
 
-void bulk_process::loadOwn(const job_keeper::open_job& job)
+void bulk_process::loadOwnJob(const bulk_job_store::open_job& job)
 {
-    if (!m_taking.insert(job.id).second)
+    if (!m_loadingJobs.insert(job.id).second)
         return;
-    m_keeper.load(job.id, [this, id = job.id](result<job_keeper::stored_job> stored) {
-        m_taking.erase(id);
+    m_jobStore.load(job.id, [this, id = job.id](result<bulk_job_store::stored_job> stored) {
+        m_loadingJobs.erase(id);
         if (!stored) {
             logEvent(log_level::warning, "job not loaded",
                 { { "job", id }, { "message", stored.error().message } });
@@ -114,7 +115,7 @@
         logEvent(log_level::info, "job taken",
             { { "job", id }, { "revision", stored.value().openRevision },
                 { "groups", static_cast<std::int64_t>(stored.value().groups.size()) } });
-        hold(std::move(stored.value()));
+        addHeldJob(std::move(stored.value()));
     });
 }
 
--- a/libs/bulk_process/src/open_lookup.h
+++ b/libs/bulk_process/src/open_lookup.h
@@ -16,25 +16,25 @@
 /// that come close together share one listing of all unfinished jobs.
 class open_lookup {
 public:
-    using callback = job_keeper::callback<std::optional<job_keeper::open_job>>;
+    using callback = bulk_job_store::callback<std::optional<bulk_job_store::open_job>>;
 
-    open_lookup(event_loop& loop, job_keeper& keeper);
+    open_lookup(event_loop& loop, bulk_job_store& jobStore);
 
     /// The answer is the store's of a moment after the question; nothing if the job is finished, ended or not
     /// there.
-    void ask(const std::string& jobId, callback done);
+    void lookUp(const std::string& jobId, callback done);
 
 private:
-    using questions = std::multimap<std::string, callback>;
+    using pending_lookups = std::multimap<std::string, callback>;
 
     void schedule();
     void send();
-    void answer(const questions& asked, const result<job_keeper::open_jobs>& open);
-    void ended();
+    void deliver(const pending_lookups& sent, const result<bulk_job_store::open_jobs>& open);
+    void callFinished();
 
-    job_keeper& m_keeper;
+    bulk_job_store& m_jobStore;
     loop_timer m_timer;
-    questions m_waiting;
+    pending_lookups m_pending;
     steady_time m_nextCall;
     bool m_calling = false;
 };
--- a/libs/bulk_process/src/process.h
+++ b/libs/bulk_process/src/process.h
@@ -18,8 +18,8 @@
 constexpr milliseconds commitRetry { 200 };
 constexpr milliseconds retryAfter { 500 };
 /// What a run takes until some have been seen: a few hundred events, 20 ms each.
-constexpr double firstMeanRunMs = 4000;
-constexpr double firstMeanEventMs = 20;
+constexpr double initialMeanRunMs = 4000;
+constexpr double initialMeanEventMs = 20;
 
 /// A caller that waits for a result of a job.
 struct waiting_reader {
@@ -34,21 +34,21 @@
     std::int64_t openRevision = 0; ///< 0: finished or ended, and only read.
     token_claim claim;
     std::map<std::uint32_t, std::unique_ptr<item_run>> runs;
-    std::map<std::uint32_t, unsigned> cuts; ///< In a row without a new event, by item.
-    std::map<std::uint32_t, loop_timer> pauses; ///< Of items that were cut, or end their targets.
-    std::set<std::uint32_t> waitedOut; ///< Items that end their targets, and have had their pause.
+    std::map<std::uint32_t, unsigned> consecutiveAborts; ///< In a row without a new event, by item.
+    std::map<std::uint32_t, loop_timer> requeueTimers; ///< Of items that were cut, or end their targets.
+    std::set<std::uint32_t> suspectDelayPassed; ///< Items that end their targets, and have had their pause.
     std::vector<waiting_reader> readers;
-    steady_time nextCommit;
+    steady_time nextCommitAt;
     std::size_t eventsSaved = 0; ///< At the last saving of progress.
     steady_time acceptedAt;
     bool committing = false;
-    bool commitAlone = false; ///< A call together with other jobs has failed on a condition.
-    bool ended = false; ///< By its caller.
+    bool mustCommitSeparately = false; ///< A call together with other jobs has failed on a condition.
+    bool cancelled = false; ///< By its caller.
 };
 
 /// What is seen of one run, for the mean of them.
-struct run_figures {
-    steady_time begun; ///< First event.
+struct run_statistics {
+    steady_time firstEventAt; ///< First event.
     std::size_t events = 0;
 };
 
@@ -70,94 +70,95 @@
 
     // --- Calls of callers
     void serve(std::shared_ptr<http_exchange> caller);
-    void answer(http_exchange& caller, const failure& error);
+    void replyWithFailure(http_exchange& caller, const failure& error);
     /// While the store turns this process away, each question of a caller would be one more priced call that
     /// fails, up to thousands a second, and wait for its timeout if the store is silent. The caller is told
     /// at once, and its entry asks another process; this one notices the store's return by its own renewals.
-    bool refusedWhileStoreAway(http_exchange& caller);
+    bool refuseIfStoreUnavailable(http_exchange& caller);
     void submit(std::shared_ptr<http_exchange> caller);
     /// The limit of waiting tokens that a submission is under.
     token_limit limitFor(const bulk_record& record) const;
     /// Whether what this process knows of a job is what the store knows.
-    bool current(const held_job& held) const;
+    bool isCurrent(const held_job& held) const;
     void serve(std::shared_ptr<http_exchange> caller, const read_results_call& call);
-    void answerPage(http_exchange& caller, const held_job& held, std::size_t after);
-    void readFromStore(std::shared_ptr<http_exchange> caller, const read_results_call& call);
+    void replyWithResults(http_exchange& caller, const held_job& held, std::size_t after);
+    void replyFromStore(std::shared_ptr<http_exchange> caller, const read_results_call& call);
     using job_reader = std::function<void(http_exchange&, const bulk_job&)>;
     /// Answers from the store what this process does not know, or cannot be sure of.
-    void withStored(std::shared_ptr<http_exchange> caller, const std::string& id, job_reader use);
+    void useStoredJob(std::shared_ptr<http_exchange> caller, const std::string& id, job_reader use);
     /// Address of another process that holds a job, if it lives.
-    std::string liveHolder(const bulk_holder& holder) const;
+    std::string addressOfLiveHolder(const bulk_holder& holder) const;
     /// Reads a job that nobody alive holds, with its holder as the store has just told it.
-    void loadFor(std::shared_ptr<http_exchange> caller, const std::string& id,
-        const std::optional<job_keeper::open_job>& open, job_reader use);
+    void loadForCaller(std::shared_ptr<http_exchange> caller, const std::string& id,
+        const std::optional<bulk_job_store::open_job>& open, job_reader use);
     void serve(std::shared_ptr<http_exchange> caller, const read_item_body_call& call);
     void serve(std::shared_ptr<http_exchange> caller, const cancel_job_call& call);
 
     // --- Jobs
     bulk_limits limitsOf(const bulk_record& record, milliseconds age) const;
     steady_time dueOf(const bulk_record& record, milliseconds age) const;
-    held_job build(job_keeper::stored_job stored);
-    void hold(job_keeper::stored_job stored);
-    void dropJob(job_map::iterator job);
+    held_job makeHeldJob(bulk_job_store::stored_job stored);
+    void addHeldJob(bulk_job_store::stored_job stored);
+    void dropHeldJob(job_map::iterator job);
     void notifyReaders(held_job& held);
 
     // --- Running items
     std::size_t runs() const;
     /// Runs that have no place yet.
-    std::size_t waitingRuns() const;
+    std::size_t runsWithoutSlot() const;
     /// Starts what may start: the job that is due first goes first, but one that can only be late goes last.
     /// Under overload, the earliest due alone would finish everything a little too late.
-    void pump();
+    void startRuns();
     /// Whether the job's next item can only be late, by what items have taken lately.
-    bool hopeless(const bulk_job& job, steady_time time) const;
-    /// Follows how long an undisturbed run takes, in all and by event.
-    void noteRun(const run_figures& run);
+    bool willMissDeadline(const bulk_job& job, steady_time time) const;
+    /// Follows outcome long an undisturbed run takes, in all and by event.
+    void updateMeanDurations(const run_statistics& run);
     bool startItem(held_job& held, const routing_table& table);
     /// Whether an item is known to end its targets and has to wait.
-    bool heldBack(held_job& held, std::uint32_t index, const item_order& order);
-    void itemEnded(const std::string& id, std::uint32_t index, run_end how, std::string_view reason);
+    bool deferSuspectedItem(held_job& held, std::uint32_t index, const item_run_request& request);
+    void runFinished(
+        const std::string& id, std::uint32_t index, run_outcome outcome, std::string_view reason);
     /// Lets the item wait for its next run, at once or after a pause.
-    void putBack(const std::string& id, std::uint32_t index, run_end how, milliseconds pause);
+    void requeueItem(const std::string& id, std::uint32_t index, run_outcome outcome, milliseconds delay);
 
     // --- Committing
     void commitDue();
     bool mayCommit(const held_job& held, steady_time time) const;
-    job_keeper::group_commit nextCommit(held_job& held) const;
-    void commitAlone(const std::string& id, held_job& held);
+    bulk_job_store::group_commit makeCommit(held_job& held) const;
+    void commitSeparately(const std::string& id, held_job& held);
     void commitTogether(std::span<const job_map::iterator> jobs);
-    void committedTogether(const std::string& id, std::int64_t revision, const result<bool>& outcome);
-    void committed(
-        const std::string& id, std::int64_t revision, const result<job_keeper::commit_result>& outcome);
+    void jointCommitFinished(const std::string& id, std::int64_t revision, const result<bool>& outcome);
+    void commitFinished(
+        const std::string& id, std::int64_t revision, const result<bulk_job_store::commit_result>& outcome);
 
     // --- Saving progress
-    /// Saves how far items have come, so that a job that changes hands goes on where it stood.
+    /// Saves outcome far items have come, so that a job that changes hands goes on where it stood.
     void saveProgress();
 
     // --- Jobs of others
     void scan();
-    void compare(const job_keeper::open_jobs& open);
+    void reconcile(const bulk_job_store::open_jobs& open);
     /// Whether a job's holder has gone and this process is the one to take it.
-    bool mayTake(const job_keeper::open_job& job) const;
-    void takeOver(const job_keeper::open_job& job);
-    void loadOwn(const job_keeper::open_job& job);
+    bool shouldTakeOver(const bulk_job_store::open_job& job) const;
+    void takeOver(const bulk_job_store::open_job& job);
+    void loadOwnJob(const bulk_job_store::open_job& job);
 
     // --- Time and signals
     void tick();
-    void removeOld(steady_time time);
+    void removeExpiredJobs(steady_time time);
     /// Gives up all jobs: the others take them as soon as this process has left the list.
-    void retire();
+    void releaseJobs();
     void awaitCommits();
-    void stopNow();
-    void signalled(int signal);
-    void refreshFigures();
+    void finishStop();
+    void handleSignal(int signal);
+    void refreshMetrics();
 
     /// The deadline that a run's target is given; most runs take a few seconds.
     static constexpr std::chrono::seconds defaultRunTime { 60 };
     process_settings m_settings;
     const bulk_adapter& m_adapter;
     event_loop m_loop;
-    metrics m_figures;
+    metrics m_metrics;
     http_client m_client;
     std::unique_ptr<async_store> m_platformStore;
     observed_store m_store;
@@ -168,24 +169,24 @@
     fleet_watch m_fleet;
     registration m_registration;
     slot_broker m_broker;
-    item_services m_items;
-    job_keeper m_keeper;
+    item_run_services m_items;
+    bulk_job_store m_jobStore;
     open_lookup m_lookup;
     job_admission m_admission;
     retirement m_retirement;
     loop_timer m_stopTimer;
     job_map m_jobs;
-    std::set<std::string> m_taking; ///< Jobs that are being taken or loaded.
+    std::set<std::string> m_loadingJobs; ///< Jobs that are being taken or loaded.
     std::unique_ptr<loop_ticker> m_ticker;
     std::unique_ptr<http_listener> m_listener;
-    std::unique_ptr<http_listener> m_metrics;
+    std::unique_ptr<http_listener> m_metricsListener;
     steady_time m_nextScan;
     steady_time m_lastScan;
-    std::uint64_t m_checkedGeneration = 0; ///< Of the registration at the last look at the open jobs.
+    std::uint64_t m_reconciledGeneration = 0; ///< Of the registration at the last look at the open jobs.
     steady_time m_stopAt;
-    double m_meanRunMs = firstMeanRunMs;
-    double m_meanEventMs = firstMeanEventMs;
-    steady_time m_nextSave;
+    double m_meanRunMs = initialMeanRunMs;
+    double m_meanEventMs = initialMeanEventMs;
+    steady_time m_nextProgressSave;
     bool m_saving = false;
     bool m_scanning = false;
     bool m_leaving = false;
--- a/libs/bulk_process/src/retirement.cpp
+++ b/libs/bulk_process/src/retirement.cpp
@@ -11,20 +11,20 @@
 constexpr milliseconds tickInterval { 500 };
 /// The VM's own process answers within some hundred milliseconds; others report for it after this. By then
 /// its registration, and with it its hold on its jobs, has lapsed if it is dead.
-constexpr milliseconds reportForOthersAfter { 3500 };
+constexpr milliseconds reportOtherVmsAfter { 3500 };
 
 } // namespace
 
 retirement::retirement(event_loop& loop, async_store& store, const bulk_protocol& protocol, std::string vm,
-    std::function<void()> retireSelf)
+    std::function<void()> releaseOwnJobs)
     : m_store(store)
     , m_protocol(protocol)
     , m_vm(std::move(vm))
-    , m_retireSelf(std::move(retireSelf))
+    , m_releaseOwnJobs(std::move(releaseOwnJobs))
     , m_ticker(loop, tickInterval, [this] {
         const auto now = std::chrono::steady_clock::now();
         for (auto& [name, order] : m_orders) {
-            if (!order.reported && name != m_vm && now - order.since > reportForOthersAfter)
+            if (!order.reported && name != m_vm && now - order.since > reportOtherVmsAfter)
                 report(name, true);
         }
     })
@@ -36,27 +36,27 @@
     std::set<std::string> ordered;
     for (const auto& order : m_protocol.retirements(orders)) {
         ordered.insert(order.vm);
-        auto& known = m_orders[order.vm];
-        if (known.revision == order.revision)
+        auto& current = m_orders[order.vm];
+        if (current.revision == order.revision)
             continue;
-        known = { std::chrono::steady_clock::now(), order.revision, false };
+        current = { std::chrono::steady_clock::now(), order.revision, false };
         logEvent(log_level::info, "VM to be emptied",
             { { "vm_ordered", order.vm }, { "revision", order.revision } });
         if (order.vm != m_vm)
             continue;
-        m_selfOrdered = true;
-        if (m_selfEmpty)
+        m_ownVmOrdered = true;
+        if (m_ownJobsReleased)
             report(m_vm, true);
         else
-            m_retireSelf();
+            m_releaseOwnJobs();
     }
     std::erase_if(m_orders, [&](const auto& entry) { return !ordered.contains(entry.first); });
 }
 
-void retirement::selfEmptied()
+void retirement::ownJobsReleased()
 {
-    m_selfEmpty = true;
-    if (m_selfOrdered)
+    m_ownJobsReleased = true;
+    if (m_ownVmOrdered)
         report(m_vm, true);
 }
 
--- a/libs/bulk_process/src/retirement.h
+++ b/libs/bulk_process/src/retirement.h
@@ -11,13 +11,13 @@
 /// process.
 class retirement {
 public:
-    /// `retireSelf` gives up this process's jobs and calls back when that is done.
+    /// `releaseOwnJobs` gives up this process's jobs and calls back when that is done.
     retirement(event_loop& loop, async_store& store, const bulk_protocol& protocol, std::string vm,
-        std::function<void()> retireSelf);
+        std::function<void()> releaseOwnJobs);
 
     void ordersChanged(const store_section& orders);
     /// This process holds nothing any more.
-    void selfEmptied();
+    void ownJobsReleased();
 
 private:
     void report(const std::string& vm, bool done);
@@ -25,7 +25,7 @@
     async_store& m_store;
     const bulk_protocol& m_protocol;
     std::string m_vm;
-    std::function<void()> m_retireSelf;
+    std::function<void()> m_releaseOwnJobs;
     loop_ticker m_ticker;
     struct pending_order {
         steady_time since;
@@ -33,8 +33,8 @@
         bool reported = false;
     };
     std::map<std::string, pending_order> m_orders; ///< By VM.
-    bool m_selfOrdered = false;
-    bool m_selfEmpty = false;
+    bool m_ownVmOrdered = false;
+    bool m_ownJobsReleased = false;
 };
 
 } // namespace yuccachute
--- a/libs/bulk_process/tests/fake_store.h
+++ b/libs/bulk_process/tests/fake_store.h
@@ -12,7 +12,7 @@
 /// and calls can be executed later.
 class fake_store final : public async_store {
 public:
-    enum class fault : std::uint8_t { none, refused, lost_before, lost_after, executed_later };
+    enum class fault : std::uint8_t { none, refused, request_lost, reply_lost, executed_late };
 
     void get(std::string_view key, callback<std::optional<stored_value>> done) override
     {
@@ -39,12 +39,12 @@
         switch (next) {
         case fault::refused:
             return done(notRun(failure_kind::unavailable, "503"));
-        case fault::lost_before:
+        case fault::request_lost:
             return done(mayHaveRun(failure_kind::timeout, "no answer"));
-        case fault::executed_later:
+        case fault::executed_late:
             late.push_back(transaction);
             return done(mayHaveRun(failure_kind::timeout, "no answer"));
-        case fault::lost_after:
+        case fault::reply_lost:
             execute(transaction);
             return done(mayHaveRun(failure_kind::timeout, "no answer"));
         case fault::none:
@@ -64,7 +64,7 @@
             const auto wanted = condition.what == store_condition::kind::absent ? 0 : condition.revision;
             if (at != wanted)
                 return { false, revision,
-                    namesFound ? conditionKeys(transaction) : std::vector<stored_value>() };
+                    returnsConditionKeys ? conditionKeys(transaction) : std::vector<stored_value>() };
         }
         ++revision;
         for (const auto& write : transaction.writes)
@@ -73,7 +73,7 @@
             values.erase(removal.key);
         return { true, revision, {} };
     }
-    void executeLate()
+    void executeDelayed()
     {
         for (const auto& transaction : std::exchange(late, {}))
             execute(transaction);
@@ -91,7 +91,7 @@
     }
 
     std::map<std::string, stored_value, std::less<>> values;
-    bool namesFound = true; ///< Whether a refused change tells the keys of its conditions.
+    bool returnsConditionKeys = true; ///< Whether a refused change tells the keys of its conditions.
     std::deque<fault> faults;
     std::vector<store_transaction> late;
     std::int64_t revision = 10;
--- a/libs/bulk_process/tests/test_job_keeper.cpp
+++ b/libs/bulk_process/tests/test_bulk_job_store.cpp
@@ -33,48 +33,48 @@
     {
         return [&slot](result<T> outcome) { slot.emplace(std::move(outcome)); };
     }
-    result<job_keeper::creation> create(const std::string& id)
+    result<bulk_job_store::creation> create(const std::string& id)
     {
-        std::optional<result<job_keeper::creation>> outcome;
-        keeper.create(record(id), {}, into(outcome));
+        std::optional<result<bulk_job_store::creation>> outcome;
+        jobStore.create(record(id), {}, into(outcome));
         return *outcome;
     }
-    result<job_keeper::stored_job> load(const std::string& id)
+    result<bulk_job_store::stored_job> load(const std::string& id)
     {
-        std::optional<result<job_keeper::stored_job>> outcome;
-        keeper.load(id, into(outcome));
+        std::optional<result<bulk_job_store::stored_job>> outcome;
+        jobStore.load(id, into(outcome));
         return *outcome;
     }
-    result<job_keeper::commit_result> commit(job_keeper& by, std::size_t number,
+    result<bulk_job_store::commit_result> commit(bulk_job_store& by, std::size_t number,
         const bulk_result_group& group, std::int64_t revision, bool completes)
     {
-        std::optional<result<job_keeper::commit_result>> outcome;
+        std::optional<result<bulk_job_store::commit_result>> outcome;
         by.commit("a", { number, group, revision, completes, std::nullopt }, into(outcome));
         return *outcome;
     }
     result<bool> end(const std::string& id)
     {
         std::optional<result<bool>> outcome;
-        keeper.end(id, into(outcome));
+        jobStore.end(id, into(outcome));
         return *outcome;
     }
-    job_keeper::open_jobs open()
+    bulk_job_store::open_jobs open()
     {
-        std::optional<result<job_keeper::open_jobs>> outcome;
-        keeper.listOpen(into(outcome));
+        std::optional<result<bulk_job_store::open_jobs>> outcome;
+        jobStore.listOpen(into(outcome));
         return outcome->value();
     }
-    std::int64_t take(job_keeper& by, const job_keeper::open_job& job)
+    std::int64_t takeOver(bulk_job_store& by, const bulk_job_store::open_job& job)
     {
         std::optional<result<std::int64_t>> outcome;
-        by.take(job, into(outcome));
+        by.takeOver(job, into(outcome));
         return outcome->value();
     }
 
     event_loop loop;
     fake_store store;
-    job_keeper keeper { loop, store, { "vm1", 1 }, valueBytes };
-    job_keeper other { loop, store, { "vm2", 2 }, valueBytes };
+    bulk_job_store jobStore { loop, store, { "vm1", 1 }, valueBytes };
+    bulk_job_store other { loop, store, { "vm2", 2 }, valueBytes };
 };
 
 const bulk_result_group first { "t1", { { 0, true, "x" } } };
@@ -91,7 +91,7 @@
     REQUIRE(stored);
     CHECK(stored.value().holder == bulk_holder { "vm1", 1 });
     CHECK(stored.value().openRevision == 11);
-    CHECK(!stored.value().ended);
+    CHECK(!stored.value().cancelled);
     CHECK(f.load("b").error().kind == failure_kind::not_found);
 }
 
@@ -99,16 +99,16 @@
 TEST_CASE("a creation whose answer was lost is found, and never said not to exist")
 {
     fixture f;
-    f.store.faults = { fake_store::fault::lost_after };
+    f.store.faults = { fake_store::fault::reply_lost };
     CHECK(f.create("a").value().openRevision == 0);
     CHECK(f.load("a").value().holder == bulk_holder { "vm1", 1 });
 
     f.store.faults = { fake_store::fault::refused };
     CHECK(f.create("b").error().ran == verdict::not_run);
     f.store.faults
-        = { fake_store::fault::executed_later, fake_store::fault::refused, fake_store::fault::refused };
+        = { fake_store::fault::executed_late, fake_store::fault::refused, fake_store::fault::refused };
     CHECK(f.create("c").error().ran == verdict::may_have_run);
-    f.store.executeLate();
+    f.store.executeDelayed();
     CHECK(f.create("c").value().openRevision == 0);
 }
 
@@ -116,13 +116,15 @@
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    CHECK(f.commit(f.keeper, 0, first, revision, false).value() == job_keeper::commit_result::committed);
+    CHECK(
+        f.commit(f.jobStore, 0, first, revision, false).value() == bulk_job_store::commit_result::committed);
     CHECK(f.open().jobs.size() == 1);
-    CHECK(f.commit(f.keeper, 1, second, revision, true).value() == job_keeper::commit_result::committed);
+    CHECK(
+        f.commit(f.jobStore, 1, second, revision, true).value() == bulk_job_store::commit_result::committed);
     CHECK(f.open().jobs.empty());
     const auto stored = f.load("a");
     CHECK(!stored.value().holder);
-    CHECK(!stored.value().ended);
+    CHECK(!stored.value().cancelled);
     REQUIRE(stored.value().groups.size() == 2);
     CHECK(stored.value().groups[1].results[0].text == "y");
 }
@@ -132,9 +134,10 @@
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    f.store.faults = { fake_store::fault::lost_after };
-    CHECK(!f.commit(f.keeper, 0, first, revision, false));
-    CHECK(f.commit(f.keeper, 0, first, revision, false).value() == job_keeper::commit_result::committed);
+    f.store.faults = { fake_store::fault::reply_lost };
+    CHECK(!f.commit(f.jobStore, 0, first, revision, false));
+    CHECK(
+        f.commit(f.jobStore, 0, first, revision, false).value() == bulk_job_store::commit_result::committed);
     CHECK(f.load("a").value().groups.size() == 1);
 }
 
@@ -144,16 +147,16 @@
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    f.store.faults = { fake_store::fault::executed_later };
-    CHECK(!f.commit(f.keeper, 0, first, revision, false));
-    const auto taken = f.take(f.other, f.open().jobs.at(0));
+    f.store.faults = { fake_store::fault::executed_late };
+    CHECK(!f.commit(f.jobStore, 0, first, revision, false));
+    const auto taken = f.takeOver(f.other, f.open().jobs.at(0));
     REQUIRE(taken != 0);
-    CHECK(f.take(f.keeper, { "a", { "vm1", 1 }, {}, 0, revision }) == 0);
-    f.store.executeLate();
+    CHECK(f.takeOver(f.jobStore, { "a", { "vm1", 1 }, {}, 0, revision }) == 0);
+    f.store.executeDelayed();
     CHECK(f.load("a").value().groups.empty());
-    CHECK(f.commit(f.other, 0, second, taken, false).value() == job_keeper::commit_result::committed);
-    CHECK(f.commit(f.keeper, 0, first, revision, false).value() == job_keeper::commit_result::lost);
-    CHECK(f.commit(f.keeper, 1, first, revision, false).value() == job_keeper::commit_result::lost);
+    CHECK(f.commit(f.other, 0, second, taken, false).value() == bulk_job_store::commit_result::committed);
+    CHECK(f.commit(f.jobStore, 0, first, revision, false).value() == bulk_job_store::commit_result::lost);
+    CHECK(f.commit(f.jobStore, 1, first, revision, false).value() == bulk_job_store::commit_result::lost);
     CHECK(f.load("a").value().groups.size() == 1);
 }
 
@@ -162,16 +165,16 @@
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    CHECK(f.commit(f.keeper, 0, first, revision, false));
+    CHECK(f.commit(f.jobStore, 0, first, revision, false));
     CHECK(f.end("a").value());
     CHECK(f.end("a").value());
-    CHECK(f.commit(f.keeper, 1, second, revision, true).value() == job_keeper::commit_result::lost);
+    CHECK(f.commit(f.jobStore, 1, second, revision, true).value() == bulk_job_store::commit_result::lost);
     const auto stored = f.load("a");
-    CHECK(stored.value().ended);
+    CHECK(stored.value().cancelled);
     CHECK(stored.value().groups.size() == 1);
     CHECK(f.end("nobody").error().kind == failure_kind::not_found);
     f.create("b");
-    f.store.faults = { fake_store::fault::lost_after };
+    f.store.faults = { fake_store::fault::reply_lost };
     CHECK(f.end("b").value());
 }
 
@@ -179,8 +182,8 @@
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    CHECK(f.commit(f.keeper, 0, first, revision, false));
-    f.keeper.remove(record("a"), 1);
+    CHECK(f.commit(f.jobStore, 0, first, revision, false));
+    f.jobStore.remove(record("a"), 1);
     CHECK(f.store.values.empty());
 }
 
@@ -190,9 +193,9 @@
 {
     fixture f;
     const auto large = largeRecord("large", 3 * valueBytes);
-    std::optional<result<job_keeper::creation>> created;
-    f.store.faults = { fake_store::fault::lost_after };
-    f.keeper.create(large, {}, f.into(created));
+    std::optional<result<bulk_job_store::creation>> created;
+    f.store.faults = { fake_store::fault::reply_lost };
+    f.jobStore.create(large, {}, f.into(created));
     REQUIRE(*created);
     for (const auto& [key, value] : f.store.values)
         CHECK(value.value.size() <= valueBytes);
@@ -201,15 +204,15 @@
     REQUIRE(stored);
     REQUIRE(stored.value().record.items.size() == 2);
     CHECK((stored.value().record.items[1].body == large.items[1].body));
-    f.keeper.remove(large, 0);
+    f.jobStore.remove(large, 0);
     CHECK(f.store.values.empty());
 }
 
 TEST_CASE("a job that does not fit into one call of the store is refused")
 {
     fixture f;
-    std::optional<result<job_keeper::creation>> created;
-    f.keeper.create(largeRecord("huge", 20 * valueBytes), {}, f.into(created));
+    std::optional<result<bulk_job_store::creation>> created;
+    f.jobStore.create(largeRecord("huge", 20 * valueBytes), {}, f.into(created));
     REQUIRE(!*created);
     CHECK(created->error().kind == failure_kind::too_large);
     CHECK(created->error().ran == verdict::not_run);
@@ -225,13 +228,13 @@
     bulk_job job(record("a"), {}, {});
     const auto started = job.next();
     for (std::uint64_t id = 0; id < 3; ++id)
-        REQUIRE(job.event(started->index, id, "e" + std::to_string(id)));
+        REQUIRE(job.addEvent(started->index, id, "e" + std::to_string(id)));
     std::optional<result<bool>> saved;
-    const std::vector<job_keeper::progress_save> saves { { "a", revision,
+    const std::vector<bulk_job_store::progress_save> saves { { "a", revision,
         encodeItemProgress(job.progress()) } };
-    f.keeper.saveProgress(saves, f.into(saved));
+    f.jobStore.saveProgress(saves, f.into(saved));
     CHECK(saved->value());
-    const auto taken = f.take(f.other, f.open().jobs.at(0));
+    const auto taken = f.takeOver(f.other, f.open().jobs.at(0));
     auto stored = f.load("a").value();
     REQUIRE(stored.progress.size() == 1);
     bulk_job again(stored.record, {}, {});
@@ -242,20 +245,20 @@
     CHECK(again.progress() == job.progress());
     // A former holder's late save does nothing.
     saved.reset();
-    const std::vector<job_keeper::progress_save> late { { "a", revision, encodeItemProgress({}) } };
-    f.keeper.saveProgress(late, f.into(saved));
+    const std::vector<bulk_job_store::progress_save> late { { "a", revision, encodeItemProgress({}) } };
+    f.jobStore.saveProgress(late, f.into(saved));
     CHECK(!saved->value());
     CHECK(f.load("a").value().progress.size() == 1);
     // It goes with the job's end.
-    REQUIRE(f.commit(f.other, 0, first, taken, false).value() == job_keeper::commit_result::committed);
-    REQUIRE(f.commit(f.other, 1, second, taken, true).value() == job_keeper::commit_result::committed);
+    REQUIRE(f.commit(f.other, 0, first, taken, false).value() == bulk_job_store::commit_result::committed);
+    REQUIRE(f.commit(f.other, 1, second, taken, true).value() == bulk_job_store::commit_result::committed);
     CHECK(!f.store.values.contains("yuccachute/progress/a"));
 }
 
 TEST_CASE("saved progress of an item that has got its result since is not taken over")
 {
     bulk_job job(record("a"), {}, {});
-    job.committed(first);
+    job.addCommitted(first);
     job.restore({ { 0, 5, { "x" } }, { 1, 7, { "y", "z" } }, { 9, 1, { "w" } } });
     const auto next = job.next();
     CHECK(next->index == 1);
@@ -266,12 +269,12 @@
 
 namespace {
 
-using commits = std::vector<job_keeper::job_commit>;
+using commits = std::vector<bulk_job_store::job_commit>;
 
 result<bool> commitTogether(fixture& f, const commits& jobs)
 {
     std::optional<result<bool>> outcome;
-    f.keeper.commitTogether(jobs, f.into(outcome));
+    f.jobStore.commitTogether(jobs, f.into(outcome));
     return *outcome;
 }
 
@@ -304,16 +307,16 @@
     const auto b = f.create("b").value().openRevision;
     for (const auto& job : f.open().jobs) {
         if (job.id == "a")
-            f.take(f.other, job);
+            f.takeOver(f.other, job);
     }
     CHECK(!commitTogether(
         f, { { "a", { 0, first, a, false, std::nullopt } }, { "b", { 0, second, b, false, std::nullopt } } })
                .value());
     CHECK(f.load("b").value().groups.empty());
-    CHECK(f.commit(f.keeper, 0, first, a, false).value() == job_keeper::commit_result::lost);
-    std::optional<result<job_keeper::commit_result>> alone;
-    f.keeper.commit("b", { 0, second, b, false, std::nullopt }, f.into(alone));
-    CHECK(alone->value() == job_keeper::commit_result::committed);
+    CHECK(f.commit(f.jobStore, 0, first, a, false).value() == bulk_job_store::commit_result::lost);
+    std::optional<result<bulk_job_store::commit_result>> alone;
+    f.jobStore.commit("b", { 0, second, b, false, std::nullopt }, f.into(alone));
+    CHECK(alone->value() == bulk_job_store::commit_result::committed);
 }
 
 // Story: the answer to a common commit is lost, or the call is executed late. The second try must find its
@@ -325,13 +328,13 @@
     const auto b = f.create("b").value().openRevision;
     const commits jobs { { "a", { 0, first, a, false, std::nullopt } },
         { "b", { 0, second, b, false, std::nullopt } } };
-    f.store.faults = { fake_store::fault::executed_later };
+    f.store.faults = { fake_store::fault::executed_late };
     CHECK(!commitTogether(f, jobs));
-    f.store.faults = { fake_store::fault::lost_after };
+    f.store.faults = { fake_store::fault::reply_lost };
     CHECK(!commitTogether(f, jobs));
-    f.store.executeLate();
+    f.store.executeDelayed();
     CHECK(!commitTogether(f, jobs).value());
-    CHECK(f.commit(f.keeper, 0, first, a, false).value() == job_keeper::commit_result::committed);
+    CHECK(f.commit(f.jobStore, 0, first, a, false).value() == bulk_job_store::commit_result::committed);
     CHECK(f.load("a").value().groups.size() == 1);
     CHECK(f.load("b").value().groups.size() == 1);
 }
@@ -343,8 +346,8 @@
     commits jobs;
     for (int i = 0; i < 9; ++i)
         jobs.push_back({ "j" + std::to_string(i), { 0, first, 1, true, 5 } });
-    CHECK(f.keeper.fitTogether(jobs) == 4);
+    CHECK(f.jobStore.fittingOneCall(jobs) == 4);
     const commits heavy { { "a", { 0, large, 1, false, std::nullopt } },
         { "b", { 0, large, 1, false, std::nullopt } } };
-    CHECK(f.keeper.fitTogether(heavy) == 1);
+    CHECK(f.jobStore.fittingOneCall(heavy) == 1);
 }
--- a/libs/bulk_process/tests/test_job_admission.cpp
+++ b/libs/bulk_process/tests/test_job_admission.cpp
@@ -18,31 +18,32 @@
 /// A batch process, as far as it accepts jobs.
 struct node {
     node(event_loop& loop, fake_store& store, std::string vm)
-        : keeper(loop, store, { std::move(vm), 1 }, 100000)
-        , admission(store, keeper)
+        : jobStore(loop, store, { std::move(vm), 1 }, 100000)
+        , admission(store, jobStore)
     {
     }
 
-    std::optional<result<job_keeper::creation>> submit(const std::string& id, std::uint64_t most = 500)
+    std::optional<result<bulk_job_store::creation>> submit(
+        const std::string& id, std::uint64_t maxTokens = 500)
     {
-        std::optional<result<job_keeper::creation>> outcome;
-        admission.create(record(id), { "r", most },
-            [&](result<job_keeper::creation> created) { outcome.emplace(std::move(created)); });
+        std::optional<result<bulk_job_store::creation>> outcome;
+        admission.create(record(id), { "r", maxTokens },
+            [&](result<bulk_job_store::creation> created) { outcome.emplace(std::move(created)); });
         return outcome;
     }
-    bool accepted(const std::string& id, std::uint64_t most = 500)
+    bool accepted(const std::string& id, std::uint64_t maxTokens = 500)
     {
-        const auto outcome = submit(id, most);
+        const auto outcome = submit(id, maxTokens);
         return outcome && *outcome;
     }
-    bool refused(const std::string& id, std::uint64_t most = 500)
+    bool refused(const std::string& id, std::uint64_t maxTokens = 500)
     {
-        const auto outcome = submit(id, most);
+        const auto outcome = submit(id, maxTokens);
         return outcome && !*outcome && outcome->error().kind == failure_kind::limited
             && outcome->error().ran == verdict::not_run && outcome->error().retryAfter.count() > 0;
     }
 
-    job_keeper keeper;
+    bulk_job_store jobStore;
     job_admission admission;
 };
 
@@ -51,18 +52,18 @@
         std::size_t number, std::optional<std::uint64_t> left)
     {
         const bulk_result_group group { "t" + std::to_string(index), { { index, true, "x" } } };
-        std::optional<result<job_keeper::commit_result>> outcome;
-        by.keeper.commit(id, { number, group, revision, left == 0, left },
-            [&](result<job_keeper::commit_result> committed) { outcome.emplace(std::move(committed)); });
-        REQUIRE(outcome->value() == job_keeper::commit_result::committed);
+        std::optional<result<bulk_job_store::commit_result>> outcome;
+        by.jobStore.commit(id, { number, group, revision, left == 0, left },
+            [&](result<bulk_job_store::commit_result> committed) { outcome.emplace(std::move(committed)); });
+        REQUIRE(outcome->value() == bulk_job_store::commit_result::committed);
     }
     /// Tokens of all jobs that the store holds as unfinished.
-    std::uint64_t waiting()
+    std::uint64_t pendingTokens()
     {
         std::uint64_t tokens = 0;
-        one.keeper.listOpen([&](result<job_keeper::open_jobs> open) {
+        one.jobStore.listOpen([&](result<bulk_job_store::open_jobs> open) {
             for (const auto& job : open.value().jobs)
-                tokens += job.tokensLeft;
+                tokens += job.tokensRemaining;
         });
         return tokens;
     }
@@ -85,7 +86,7 @@
     CHECK(f.two.accepted("b"));
     CHECK(f.one.refused("c"));
     CHECK(f.two.refused("c"));
-    CHECK(f.waiting() == 400);
+    CHECK(f.pendingTokens() == 400);
     CHECK(f.two.accepted("a")); // It is there already, however full the route is.
     CHECK(f.one.accepted("c", 0)); // No limit.
     f.pause();
@@ -96,7 +97,7 @@
 TEST_CASE("the limit holds where a refused change does not tell what has changed")
 {
     fixture f;
-    f.store.namesFound = false;
+    f.store.returnsConditionKeys = false;
     CHECK(f.one.accepted("a"));
     CHECK(f.two.accepted("b"));
     CHECK(f.two.accepted("b"));
@@ -111,15 +112,15 @@
     CHECK(f.two.refused("c"));
     f.commit(f.one, "a", 0, a->value().openRevision, 0, 100);
     f.pause();
-    CHECK(f.waiting() == 300);
+    CHECK(f.pendingTokens() == 300);
     CHECK(f.two.accepted("c"));
     CHECK(f.one.refused("d"));
     f.commit(f.one, "a", 1, a->value().openRevision, 1, 0);
     f.pause();
-    CHECK(f.waiting() == 400);
-    f.one.keeper.end("b", [](result<bool> ended) { CHECK(ended); });
+    CHECK(f.pendingTokens() == 400);
+    f.one.jobStore.end("b", [](result<bool> cancelled) { CHECK(cancelled); });
     f.pause();
-    CHECK(f.waiting() == 200);
+    CHECK(f.pendingTokens() == 200);
     CHECK(f.one.accepted("d"));
     CHECK(f.two.refused("e"));
 }
@@ -131,18 +132,18 @@
     CHECK(f.one.accepted("b"));
     CHECK(f.two.refused("c", 100));
     CHECK(f.two.accepted("a", 100));
-    CHECK(f.waiting() == 400);
+    CHECK(f.pendingTokens() == 400);
 }
 
 TEST_CASE("a taken-over job keeps its claim")
 {
     fixture f;
     CHECK(f.one.accepted("a"));
-    f.two.keeper.listOpen([&](result<job_keeper::open_jobs> open) {
-        f.two.keeper.take(
+    f.two.jobStore.listOpen([&](result<bulk_job_store::open_jobs> open) {
+        f.two.jobStore.takeOver(
             open.value().jobs.at(0), [](result<std::int64_t> taken) { CHECK(taken.value() != 0); });
     });
-    CHECK(f.waiting() == 200);
+    CHECK(f.pendingTokens() == 200);
     CHECK(f.two.refused("b", 300));
 }
 
@@ -152,28 +153,28 @@
 {
     fixture f;
     CHECK(f.one.accepted("a"));
-    f.store.faults.assign(3, fake_store::fault::executed_later);
+    f.store.faults.assign(3, fake_store::fault::executed_late);
     const auto unknown = f.one.submit("b");
     REQUIRE(unknown);
     REQUIRE(!*unknown);
     CHECK(unknown->error().ran == verdict::may_have_run);
     CHECK(f.two.accepted("c"));
-    f.store.executeLate();
-    CHECK(f.waiting() == 400);
+    f.store.executeDelayed();
+    CHECK(f.pendingTokens() == 400);
     CHECK(f.one.refused("b"));
 }
 
 TEST_CASE("a lost answer to a creation that took effect is found out")
 {
     fixture f;
-    f.store.faults = { fake_store::fault::lost_after };
+    f.store.faults = { fake_store::fault::reply_lost };
     CHECK(f.one.accepted("a"));
-    CHECK(f.waiting() == 200);
+    CHECK(f.pendingTokens() == 200);
     f.store.faults = { fake_store::fault::refused };
     const auto refused = f.one.submit("b");
     REQUIRE(!*refused);
     CHECK(refused->error().ran == verdict::not_run);
-    CHECK(f.waiting() == 200);
+    CHECK(f.pendingTokens() == 200);
 }
 
 // The price of the limit: one call a job, and another one where two processes create in turn.
--- a/libs/bulk_process/tests/test_open_lookup.cpp
+++ b/libs/bulk_process/tests/test_open_lookup.cpp
@@ -57,8 +57,8 @@
     fixture()
     {
         for (const std::string id : { "a", "b", "c" })
-            keeper.create(
-                { id, "h", 1, { { "i0", "/p", {}, "b", 1 } } }, {}, [](result<job_keeper::creation>) {});
+            jobStore.create(
+                { id, "h", 1, { { "i0", "/p", {}, "b", 1 } } }, {}, [](result<bulk_job_store::creation>) {});
     }
     /// Longer than two calls in a row take.
     void run()
@@ -66,9 +66,9 @@
         for (int i = 0; i < 30; ++i)
             loop.runFor(milliseconds { 10 });
     }
-    void ask(const std::string& id)
+    void lookUp(const std::string& id)
     {
-        lookup.ask(id, [this, id](result<std::optional<job_keeper::open_job>> open) {
+        lookup.lookUp(id, [this, id](result<std::optional<bulk_job_store::open_job>> open) {
             ++answers;
             failures += open ? 0 : 1;
             if (open && open.value())
@@ -79,8 +79,8 @@
     event_loop loop;
     fake_store values;
     slow_store store { loop, values };
-    job_keeper keeper { loop, store, { "vm1", 1 }, 1u << 20 };
-    open_lookup lookup { loop, keeper };
+    bulk_job_store jobStore { loop, store, { "vm1", 1 }, 1u << 20 };
+    open_lookup lookup { loop, jobStore };
     unsigned answers = 0;
     unsigned failures = 0;
     std::string holders;
@@ -93,10 +93,10 @@
 TEST_CASE("questions about many jobs share one call")
 {
     fixture f;
-    f.ask("a");
+    f.lookUp("a");
     for (int i = 0; i < 13; ++i) {
         for (const auto* id : { "a", "b", "gone" })
-            f.ask(id);
+            f.lookUp(id);
     }
     f.run();
     CHECK(f.answers == 40);
@@ -109,13 +109,13 @@
 TEST_CASE("a question that comes while a call is under way is answered by the next one")
 {
     fixture f;
-    f.ask("a");
-    f.ask("b");
+    f.lookUp("a");
+    f.lookUp("b");
     f.run();
     REQUIRE(f.answers == 2);
-    f.ask("new");
-    f.keeper.create(
-        { "new", "h", 1, { { "i0", "/p", {}, "b", 1 } } }, {}, [](result<job_keeper::creation>) {});
+    f.lookUp("new");
+    f.jobStore.create(
+        { "new", "h", 1, { { "i0", "/p", {}, "b", 1 } } }, {}, [](result<bulk_job_store::creation>) {});
     f.run();
     CHECK(f.holders.ends_with("new=vm1;"));
 }
@@ -124,13 +124,13 @@
 {
     fixture f;
     f.store.away = true;
-    f.ask("a");
-    f.ask("b");
+    f.lookUp("a");
+    f.lookUp("b");
     f.run();
     CHECK(f.failures == 2);
     f.store.away = false;
-    f.ask("a");
-    f.ask("b");
+    f.lookUp("a");
+    f.lookUp("b");
     f.run();
     CHECK(f.answers == 4);
     CHECK(f.failures == 2);
