--- a/libs/bulk_process/include/bulk_process/bulk_process.h
+++ b/libs/bulk_process/include/bulk_process/bulk_process.h
@@ -19,16 +19,15 @@
 #include <variant>
 #include <vector>
 
-/// The batch process on a platform: keeps batch jobs in the platform's store and runs their items. Layer:
+/// The batch process on a platform: stores batch jobs in the platform's store and runs their items. Layer:
 /// processes.
 namespace yuccachute {
 
-// --- What the platform's adapter decodes
-// ----------------------------------------------------------------------
+// --- Types decoded by the platform adapter
 
 struct read_results_call {
     std::string jobId;
-    std::size_t after = 0; ///< Position of the first result wanted.
+    std::size_t after = 0; ///< Position of the first result to return.
     milliseconds wait { 0 };
 };
 
@@ -43,103 +42,104 @@
 
 using bulk_job_call = std::variant<read_results_call, read_item_body_call, cancel_job_call>;
 
-/// An operator's order to empty a VM.
+/// An operator's order to empty a VM, that is, to move its jobs to other VMs.
 struct retirement_order {
     std::string vm;
     std::int64_t revision = 0;
 };
 
-/// Callers' calls on batch jobs and operators' orders, as a platform writes them. Stateless.
+/// Platform-specific encoding of callers' requests for batch jobs and of operators' orders. Stateless.
 class bulk_protocol {
 public:
     virtual ~bulk_protocol() = default;
-    /// Nothing if the request is no call on an existing job.
+    /// Returns nullopt if the request does not refer to an existing job.
     virtual std::optional<bulk_job_call> parseCall(const http_request& request) const = 0;
-    /// A submission; the failure names the field.
+    /// Parses the submission of a job. A failure names the invalid field.
     virtual result<bulk_record> parseSubmission(const http_request& request) const = 0;
-    /// Results from a position on, up to a bound in bytes but at least one if there is one.
+    /// Encodes results starting at position `after`, at most `maxBytes` of them, but at least one if there is
+    /// one.
     virtual http_reply writeResults(const bulk_record& record, std::span<const bulk_result> results,
         std::size_t after, std::size_t maxBytes) const = 0;
-    /// The request for a target that an item stands for.
+    /// Builds the request that is sent to a target for an item.
     virtual http_request itemRequest(const bulk_record& record, const bulk_item& item) const = 0;
-    /// Orders among what operators have written.
+    /// Extracts the retirement orders from the section that operators write.
     virtual std::vector<retirement_order> retirements(const store_section& orders) const = 0;
-    /// Key and value that report on an order.
+    /// Returns the key and value that report the state of an order.
     virtual store_write retirementReport(const std::string& vm, bool done) const = 0;
 };
 
 // --- Jobs in the store
-// ---------------------------------------------------------------------------------------
-
-/// Keeps jobs in the platform's store. Keys, all under yuccachute/:
-///   job/ID         record, written once; the first part of it if it is larger than a value of the store
-///   part/ID/N      N-th further part of the record
-///   open/ID        holder of a job that is not finished, and its claim on the limit of waiting tokens
-///   open/ID/left   what is left of that claim, once results were listed
-///   progress/ID    how far the items without a result had come a moment ago
-///   tokens/ROUTE   account of the limit (job_admission)
-///   result/ID/N    N-th group of results, written once
-///   end/ID         "complete" or "ended"
+
+/// Stores jobs in the platform's store. All keys are under yuccachute/:
+///   job/ID         immutable record, or its first part if it exceeds the size limit of a value
+///   part/ID/N      Nth further part of the record
+///   open/ID        holder of an unfinished job, and its claim on the token limit
+///   open/ID/left   remaining tokens of the claim, once results were committed
+///   progress/ID    last saved progress of the items without a result
+///   tokens/ROUTE   token account of the limit (see job_admission)
+///   result/ID/N    Nth group of results, immutable
+///   end/ID         "complete" or "ended" (cancelled)
 ///
-/// A group is written on two conditions: its key is absent, and open/ID has not changed since this process
-/// took the job. So results never change or stand twice, whatever was believed while a process was paused or
-/// a lease had vanished, and a call that is executed late cannot do harm.
+/// A group is written under two conditions: its key does not exist, and open/ID has not changed since this
+/// process became the holder. Therefore results never change and are never duplicated, even if a process was
+/// paused, a lease expired unnoticed, or the store executes a call late.
 class bulk_job_store {
 public:
     template <typename T> using callback = std::function<void(result<T>)>;
 
     struct creation {
-        std::int64_t openRevision = 0; ///< Of open/ID, if this call created the job; else 0.
+        std::int64_t openRevision = 0; ///< Revision of open/ID if this call created the job, otherwise 0.
     };
 
     struct stored_job {
         bulk_record record;
         std::vector<bulk_result_group> groups;
-        std::vector<item_progress> progress; ///< Of an unfinished job; may be missing.
-        std::optional<bulk_holder> holder; ///< Of an unfinished job.
+        std::vector<item_progress> progress; ///< Only of an open job; may be empty.
+        std::optional<bulk_holder> holder; ///< Only of an open job.
         token_claim claim;
         std::int64_t openRevision = 0;
-        bool cancelled = false; ///< By its caller.
+        bool cancelled = false; ///< Cancelled by its caller.
     };
 
     enum class commit_result : std::uint8_t {
         committed,
-        lost ///< Another process holds the job, or it has been ended.
+        lost ///< The job was taken over by another process, or cancelled.
     };
 
     struct open_job {
         std::string id;
         bulk_holder holder;
         token_claim claim;
-        std::uint64_t tokensRemaining = 0; ///< Of the claim, for items without a result.
+        std::uint64_t tokensRemaining = 0; ///< Tokens of the claim for items without a result.
         std::int64_t revision = 0;
     };
 
     struct open_jobs {
         std::vector<open_job> jobs;
-        std::int64_t revision = 0; ///< Jobs that were created later are not among them.
+        std::int64_t revision = 0; ///< Store revision of the listing; jobs created later are missing from it.
     };
 
-    /// `valueBytes` is the largest value that the store takes.
+    /// `valueBytes` is the size limit of a value in the store.
     bulk_job_store(event_loop& loop, async_store& store, bulk_holder self, std::size_t valueBytes);
 
-    /// Creates a job, or finds the one that an earlier submission created: the job is durable when this
-    /// reports success. A failure with verdict not_run says that it does not exist and was not created; one
-    /// with may_have_run that this is not known. A job that does not fit is refused with too_large.
+    /// Creates a job, or finds it if an earlier submission created it. On success the job is durable. A
+    /// failure with verdict not_run means that the job does not exist and was not created; with may_have_run,
+    /// that this is unknown. Fails with too_large if the job exceeds the limits of the store.
     void create(const bulk_record& record, token_claim claim, callback<creation> done);
-    /// The call that creates a job; its first condition is that there is none. Fails with too_large.
+    /// Returns the transaction that creates a job. Its first condition is that the job does not exist. Fails
+    /// with too_large.
     result<store_transaction> makeCreation(const bulk_record& record, token_claim claim) const;
-    /// Reads a job; fails with not_found only if the store has just said that there is none.
+    /// Reads a job. Fails with not_found only if the store has confirmed that the job does not exist.
     void load(const std::string& id, callback<stored_job> done);
-    /// The same of an unfinished job, without progress, for whoever only reads it. `open` is what
-    /// readOpenJob() or listOpen() has just told of it: the results are read after that, so no holder can
-    /// have committed more before.
+    /// Reads an open job without its progress, for callers that only need the results. `open` must come from
+    /// a preceding readOpenJob() or listOpen(): the results are read afterwards, so they include everything
+    /// that its holder had committed by then.
     void loadResults(const std::string& id, const open_job& open, callback<stored_job> done);
-    /// Who holds an unfinished job, and since which revision; nothing if the job is finished, ended or not
-    /// there.
+    /// Reads the holder of a job and the revision of that entry. Returns nullopt if the job is finished,
+    /// cancelled or does not exist.
     void readOpenJob(const std::string& id, callback<std::optional<open_job>> done);
-    /// Takes a job whose holder has gone; reports the new revision of open/ID, or 0 if somebody else was
-    /// first.
+    /// Becomes the holder of a job whose previous holder is gone. Returns the new revision of open/ID, or 0
+    /// if another process was faster.
     void takeOver(const open_job& job, callback<std::int64_t> done);
     /// A group of results to be committed.
     struct group_commit {
@@ -147,36 +147,39 @@
         const bulk_result_group& group;
         std::int64_t openRevision = 0;
         bool completes = false;
-        std::optional<std::uint64_t> tokensRemaining; ///< Of the job's claim, if it has one.
+        std::optional<std::uint64_t> tokensRemaining; ///< Remaining tokens of the job's claim, if it has one.
     };
-    /// Commits a group, again and again until the outcome is known. A failure means that it is not known yet.
+    /// Commits a group. A failure means that the outcome is unknown; the caller must then commit the same
+    /// group again.
     void commit(const std::string& id, const group_commit& commit, callback<commit_result> done);
-    /// The same for a group of one of several jobs.
+    /// A group of results together with the job that it belongs to.
     struct job_commit {
         std::string id;
         group_commit commit;
     };
-    /// How many of these, from the first on, fit into one call; at least one.
+    /// Returns how many of these commits, counted from the first, fit into one transaction; at least one.
     std::size_t fittingOneCall(std::span<const job_commit> jobs) const;
-    /// Commits groups of several jobs by one call. Reports false if a condition of one of them did not hold:
-    /// then none was committed, and each is to be committed alone, which tells what became of it. A failure
-    /// means that it is not known; then, too, the same groups are committed again, together or alone.
+    /// Commits groups of several jobs in one transaction. Returns false if a condition of any of them did not
+    /// hold. None is committed then, and the caller must commit each one separately to learn its outcome. A
+    /// failure means that the outcome is unknown; the caller must commit the same groups again, together or
+    /// separately.
     void commitTogether(std::span<const job_commit> jobs, callback<bool> done);
     /// Progress of a job to be saved.
     struct progress_save {
         std::string id;
         std::int64_t openRevision = 0;
-        std::string encoded; ///< By encodeItemProgress().
+        std::string encoded; ///< Encoded by encodeItemProgress().
     };
-    /// At most so many jobs can be saved by one call.
+    /// Maximum number of jobs per saveProgress() call.
     static constexpr std::size_t maxSavesPerCall = 15;
-    /// Saves progress of several jobs by one call. If one of them has been taken by another process, none is
-    /// saved.
+    /// Saves the progress of several jobs in one transaction. Returns false and saves nothing if another
+    /// process has taken over one of them.
     void saveProgress(std::span<const progress_save> jobs, callback<bool> done);
-    /// Ends a job on its caller's behalf. Fails with not_found if there is none.
+    /// Cancels a job for its caller. Fails with not_found if the job does not exist.
     void end(const std::string& id, callback<bool> done);
     void listOpen(callback<open_jobs> done);
-    /// Removes what is left of a job, in groups.
+    /// Removes all keys of a job, in several transactions if necessary. `groups` is the number of its result
+    /// groups.
     void remove(const bulk_record& record, std::size_t groups);
 
 private:
@@ -185,7 +188,7 @@
     void readRecord(const std::string& id, callback<bulk_record> done);
     void readParts(const std::string& id, std::shared_ptr<std::string> encoded, std::size_t next,
         std::size_t parts, callback<bulk_record> done);
-    /// Notes the holder, and reads the results.
+    /// Sets the holder and reads the results.
     void readGroups(
         std::shared_ptr<stored_job> job, const std::optional<open_job>& open, callback<stored_job> done);
     void readProgress(std::shared_ptr<stored_job> job, callback<stored_job> done);
--- a/libs/bulk_process/src/bulk_job_store.cpp
+++ b/libs/bulk_process/src/bulk_job_store.cpp
@@ -13,23 +13,26 @@
 constexpr std::string_view recordPrefix = "yuccachute/job/";
 constexpr std::string_view partPrefix = "yuccachute/part/";
 constexpr std::string_view openPrefix = "yuccachute/open/";
-constexpr std::string_view remainingSuffix = "/left"; ///< Ids of jobs hold no slash.
+/// Cannot clash with a job's key, since job ids contain no slash.
+constexpr std::string_view remainingSuffix = "/left";
 constexpr std::string_view resultPrefix = "yuccachute/result/";
 constexpr std::string_view progressPrefix = "yuccachute/progress/";
 constexpr std::string_view endPrefix = "yuccachute/end/";
 constexpr std::string_view completeMarker = "complete";
 constexpr std::string_view cancelledMarker = "ended";
-/// An unknown outcome is looked into so often before the caller is told that it is unknown.
+/// Number of attempts to resolve an unknown outcome before it is reported as unknown.
 constexpr unsigned maxOutcomeAttempts = 3;
-/// A job is written by one call, which may have 32 entries: two are its other keys, and a job of 4 MB, the
-/// most that callers may send, has 5 parts in a store that takes 1 MB a value.
+/// A job is created by one transaction of at most 32 operations, two of which are its other keys. The largest
+/// job that callers may send, 4 MB, needs 5 parts if values are limited to 1 MB.
 constexpr std::size_t maxParts = 16;
-/// What a record in parts begins with; others begin with the magic number of their compression.
+/// Prefix of a record that is split into parts. Unsplit records start with the magic number of their
+/// compression.
 constexpr std::string_view partsMarker = "parts ";
-/// Of a value, left for the mark and the number of parts.
+/// Space reserved in each value for the marker and the number of parts.
 constexpr std::size_t partsHeaderBytes = 32;
-constexpr std::size_t maxOperationsPerCall = 32; ///< Of one call: conditions, writes and removals together.
-constexpr std::size_t maxOperationsPerCommit = 7; ///< Of the group that completes a job under a limit.
+/// Per transaction: conditions, writes and removals together.
+constexpr std::size_t maxOperationsPerCall = 32;
+constexpr std::size_t maxOperationsPerCommit = 7; ///< For a group that completes a job under a limit.
 constexpr std::size_t maxRemovalsPerCall = maxOperationsPerCall - 2;
 
 std::string keyOf(std::string_view prefix, std::string_view id)
@@ -49,8 +52,8 @@
     return keyOf(partPrefix, id) + '/' + std::to_string(number);
 }
 
-/// Cuts a record into values that the store takes. The first one tells how many there are, unless it is the
-/// only one.
+/// Splits a record into values that fit into the store. If there are several, the first one starts with their
+/// number.
 std::vector<std::string> splitRecord(std::string encoded, std::size_t valueBytes)
 {
     if (encoded.size() <= valueBytes)
@@ -63,7 +66,7 @@
     return parts;
 }
 
-/// How many parts may belong to a job: what is not there is removed without harm.
+/// Returns an upper bound for the number of parts of a job; removing a missing part has no effect.
 std::size_t maxPartsOf(const bulk_record& record, std::size_t valueBytes)
 {
     std::size_t bytes = 0;
@@ -72,7 +75,7 @@
         for (const auto& [name, value] : item.headers)
             bytes += name.size() + value.size();
     }
-    // Compression makes bodies that are random bytes a little longer.
+    // Compression slightly enlarges bodies of random bytes.
     return bytes < valueBytes / 2 ? 0 : std::min(maxParts, 2 + bytes / (valueBytes - partsHeaderBytes));
 }
 
@@ -81,7 +84,8 @@
     return keyOf(openPrefix, id).append(remainingSuffix);
 }
 
-/// Adds one key of the list of unfinished jobs. What is left of a job's claim stands behind the job itself.
+/// Adds one key of the listing of open jobs to `jobs`. The key with the remaining tokens of a claim directly
+/// follows the key of its job.
 void appendOpenJob(const stored_value& value, std::vector<bulk_job_store::open_job>& jobs)
 {
     const auto id = std::string_view(value.key).substr(openPrefix.size());
@@ -96,7 +100,7 @@
     }
     auto openJob = decodeOpenJob(value.value);
     if (!openJob)
-        return logEvent(log_level::error, "holder not understood",
+        return logEvent(log_level::error, "open-job record could not be decoded; ignoring the job",
             { { "key", value.key }, { "message", openJob.error().message } });
     const auto tokens = openJob.value().claim.tokens;
     jobs.push_back({ std::string(id), std::move(openJob.value().holder), std::move(openJob.value().claim),
@@ -127,7 +131,7 @@
 {
     auto parts = splitRecord(encodeRecord(record), m_valueBytes);
     if (parts.size() > maxParts)
-        return notRun(failure_kind::too_large, "the job is larger than the store takes");
+        return notRun(failure_kind::too_large, "the encoded job exceeds the size limit of the store");
     store_transaction creating;
     const auto recordKey = keyOf(recordPrefix, record.id);
     creating.conditions.push_back(absent(recordKey));
@@ -156,13 +160,14 @@
             if (outcome && outcome.value().applied)
                 return done(creation { outcome.value().revision });
             if (outcome)
-                return done(creation {}); // It exists.
+                return done(creation {}); // The job exists.
             const bool unknownBefore = attempt > 0;
             if (outcome.error().ran == verdict::not_run && !unknownBefore)
                 return done(outcome.error());
             if (attempt + 1 < maxOutcomeAttempts)
                 return resolveCreation(creating, attempt + 1, done);
-            done(mayHaveRun(failure_kind::unavailable, "it is not known whether the job was created"));
+            done(mayHaveRun(failure_kind::unavailable,
+                "the store did not confirm the creation; the job may or may not exist"));
         });
 }
 
@@ -173,7 +178,7 @@
             return done(record.error());
         auto job = std::make_shared<stored_job>();
         job->record = std::move(record.value());
-        // The holder before the results: a holder that is read later could have committed more.
+        // The holder must be read before the results: a holder read later could have committed more results.
         readOpenJob(id, [this, job, done](result<std::optional<open_job>> open) {
             if (!open)
                 return done(open.error());
@@ -212,13 +217,13 @@
             std::size_t parts = 0;
             const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), parts);
             if (error != std::errc() || parts > maxParts || end == value.data() + value.size())
-                return done(notRun(failure_kind::internal, "the record of job " + id + " is damaged"));
+                return done(notRun(failure_kind::internal, "the record of job " + id + " is corrupt"));
             value.remove_prefix(static_cast<std::size_t>(end - value.data()) + 1);
             readParts(id, std::make_shared<std::string>(value), 1, parts, done);
         });
 }
 
-/// Parts are written once, together with the record, so they can be read one after the other.
+/// Parts are immutable and written together with the record, so they can be read one by one.
 void bulk_job_store::readParts(const std::string& id, std::shared_ptr<std::string> encoded, std::size_t next,
     std::size_t parts, callback<bulk_record> done)
 {
@@ -271,7 +276,7 @@
                 results += group.value().results.size();
                 job->groups.push_back(std::move(group.value()));
             }
-            // Neither held nor whole: its caller has ended it.
+            // An incomplete job without a holder was cancelled.
             job->cancelled = !job->holder && results < job->record.items.size();
             done(*job);
         });
@@ -287,8 +292,8 @@
                 return done(std::move(*job));
             if (auto progress = decodeItemProgress(found.value()->value))
                 job->progress = std::move(progress.value());
-            else // Without it the items begin anew.
-                logEvent(log_level::error, "progress not understood",
+            else // Without saved progress the items start again.
+                logEvent(log_level::error, "saved progress could not be decoded; items start again",
                     { { "job", job->record.id }, { "message", progress.error().message } });
             done(std::move(*job));
         });
@@ -316,7 +321,7 @@
     taking.writes.push_back({ key, encodeOpenJob({ m_self, job.claim }), 0 });
     m_store.commit(taking, [done = std::move(done)](result<commit_outcome> outcome) {
         if (!outcome)
-            return done(outcome.error()); // The next look at the open jobs tells.
+            return done(outcome.error()); // The next scan of the open jobs finds out.
         done(outcome.value().applied ? outcome.value().revision : 0);
     });
 }
@@ -375,14 +380,14 @@
         [this, id, number = commit.number, token = commit.group.token, done = std::move(done)](
             result<commit_outcome> outcome) {
             if (!outcome)
-                return done(outcome.error()); // The caller tries the same group again.
+                return done(outcome.error()); // The caller commits the same group again.
             if (outcome.value().applied)
                 return done(commit_result::committed);
             resolveCommit(id, number, token, done);
         });
 }
 
-/// A condition did not hold: either an earlier try of the same commit had taken effect, or the job is lost.
+/// A condition did not hold: either an earlier attempt of this commit took effect, or the job is lost.
 void bulk_job_store::resolveCommit(
     const std::string& id, std::size_t number, const std::string& token, callback<commit_result> done)
 {
@@ -422,7 +427,7 @@
                             return done(record.error());
                         if (!record.value())
                             return done(notRun(failure_kind::not_found, "there is no job " + id));
-                        done(true); // It was finished or ended before.
+                        done(true); // The job was finished or cancelled before.
                     });
             store_transaction cancelling;
             const auto openKey = keyOf(openPrefix, id);
@@ -434,9 +439,11 @@
             m_store.commit(cancelling, [done, again](result<commit_outcome> outcome) {
                 if (outcome && outcome.value().applied)
                     return done(true);
-                // Another holder has taken it meanwhile, or the outcome is unknown: looking again tells.
-                again(
-                    outcome ? mayHaveRun(failure_kind::conflict, "the job changes hands") : outcome.error());
+                // Either another process has taken the job over, or the outcome is unknown: read the key
+                // again.
+                again(outcome
+                        ? mayHaveRun(failure_kind::conflict, "the job is being taken over by another process")
+                        : outcome.error());
             });
         });
 }
@@ -469,7 +476,7 @@
             removing.removals.push_back({ keys[i], false });
         m_store.commit(removing, [id](result<commit_outcome> outcome) {
             if (!outcome)
-                logEvent(log_level::warning, "job not removed",
+                logEvent(log_level::warning, "job could not be removed from the store",
                     { { "job", id }, { "message", outcome.error().message } });
         });
     }
--- a/libs/bulk_process/src/bulk_process.cpp
+++ b/libs/bulk_process/src/bulk_process.cpp
@@ -73,7 +73,7 @@
     self.address = settings.address + ':' + std::to_string(settings.innerPort);
     self.role = node_role::batch;
     self.cores = settings.cores;
-    // Two starts in the same millisecond must differ, and clocks may jump back.
+    // Random, because two starts can fall into the same millisecond, and clocks can be set back.
     self.incarnation = std::mt19937_64 { std::random_device {}() }() >> 1;
     return self;
 }
@@ -123,7 +123,7 @@
             ++job;
             continue;
         }
-        logEvent(log_level::info, "job removed", { { "job", job->first } });
+        logEvent(log_level::info, "job removed after its retention period", { { "job", job->first } });
         m_jobStore.remove(job->second.job->record(), job->second.job->committedGroups());
         job = m_jobs.erase(job);
     }
@@ -161,9 +161,9 @@
 void bulk_process::handleSignal(int signal)
 {
     if (signal == SIGHUP) {
-        // The settings that this process uses cannot change while it runs: addresses and limits of its
-        // VM.
-        logEvent(log_level::info, "reload asked for", { { "config", m_settings.vm } });
+        // The settings used by this process (addresses, limits of its VM) cannot change while it runs.
+        logEvent(log_level::info, "reload signal ignored: the settings in use cannot change at run time",
+            { { "config", m_settings.vm } });
         return;
     }
     if (m_stopping)
--- a/libs/bulk_process/src/item_run.cpp
+++ b/libs/bulk_process/src/item_run.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// A wait for a place is begun anew after so long, because another zone may have room by then. With 1 s, 84
-/// of 100 items were on time on days with trouble of a deployment of 18 targets, with 0.4 s 85, for 4% more
-/// processor time.
+/// Restarts the request for a slot after this time, because another zone may have capacity by then. On days
+/// with faults in a deployment of 18 targets, 1 s gave 84 of 100 items on time, 0.4 s gave 85 for 4% more CPU
+/// time.
 constexpr milliseconds slotWait { 400 };
-/// A try takes at least so long, so that an item that all dispatchers refuse at once, as they do while they
-/// change, does not ask them thousands of times a second.
+/// Minimum duration of an attempt. Without it, an item that all dispatchers reject at once, as they do while
+/// they change, would send them thousands of requests per second.
 constexpr milliseconds minAttemptInterval { 50 };
-/// An item's events come every 20 ms, every 100 ms from a slowed target; a target that is silent for longer
-/// does not work on it.
+/// A target sends an event every 20 ms, a slow one every 100 ms. If it sends none for longer, it does not
+/// process the item.
 constexpr milliseconds idleTimeout { 700 };
 constexpr milliseconds connectTimeout { 300 };
 constexpr unsigned rejectedStatus = 422;
@@ -119,7 +119,7 @@
     {
         if (m_meaning != answer_meaning::own || m_status != 200)
             return true;
-        // One event at a time, each with its own id.
+        // Feeds single lines, so that each event is reported with its own id.
         while (!piece.empty()) {
             const auto end = piece.find('\n');
             const auto line = piece.substr(0, end == std::string_view::npos ? piece.size() : end + 1);
@@ -139,11 +139,11 @@
         m_call.reset();
         if (m_meaning == answer_meaning::not_run) {
             release(grant_outcome::refused);
-            return end(run_outcome::interrupted, "the target refused");
+            return end(run_outcome::interrupted, "the target refused the item");
         }
         if (m_meaning != answer_meaning::own) {
             release(grant_outcome::failed);
-            return end(run_outcome::interrupted, "another target has the address");
+            return end(run_outcome::interrupted, "another target responds at this address");
         }
         const bool truncated = m_status == 200 && m_splitter.midEvent();
         if (!truncated && m_framed && m_services.guard.hasSuspects())
@@ -152,16 +152,16 @@
             release(grant_outcome::ok);
             return end(run_outcome::completed, "");
         }
-        // An item that fails says nothing about its target.
+        // A failure reported for the item is no sign of an unhealthy target.
         release(m_status == 200 ? abortOutcome() : grant_outcome::ok);
         if (m_status == rejectedStatus)
-            return end(run_outcome::rejected, "the target says that it can never be done");
+            return end(run_outcome::rejected, "the target rejected the item permanently");
         if (m_status == failedStatus)
             return end(run_outcome::failed, "the target failed on it");
-        end(run_outcome::aborted, "status " + std::to_string(m_status));
+        end(run_outcome::aborted, "unexpected HTTP status " + std::to_string(m_status));
     }
 
-    /// Live work needs the place: the run stops at its last whole event.
+    /// The slot is needed for live requests. The item resumes later, after its last complete event.
     void revoked()
     {
         if (m_stopped || !m_slot)
@@ -173,7 +173,7 @@
         end(run_outcome::interrupted, "revoked");
     }
 
-    /// The target may have ended under this item.
+    /// Reports that the target may have been terminated by this item.
     void reportToGuard(const failure& error)
     {
         const auto identity = identityOf(m_request.request, m_request.customer);
@@ -201,7 +201,7 @@
         if (m_stopped)
             return;
         m_stopped = true;
-        // Later: the receiver drops this run, which is still at work here.
+        // Posted, because the receiver destroys this run, whose methods are still on the stack.
         m_services.loop.post([self = shared_from_this(), outcome, reason = std::move(reason)] {
             if (const auto report = std::exchange(self->m_events.finished, nullptr))
                 report(outcome, reason);
@@ -223,10 +223,11 @@
     std::optional<held_slot> m_slot;
     std::string m_target;
     std::string m_address;
-    strike_record m_recordWhenSent; ///< What was known against the item when it was sent.
+    strike_record m_recordWhenSent; ///< Strikes known against the item when it was sent.
     answer_meaning m_meaning = answer_meaning::own;
     unsigned m_status = 0;
-    bool m_framed = false; ///< The answer's end can be told from a cut connection.
+    /// Whether the response is framed, so that its end can be told from a lost connection.
+    bool m_framed = false;
     bool m_stopped = false;
 };
 
--- a/libs/bulk_process/src/item_run.h
+++ b/libs/bulk_process/src/item_run.h
@@ -4,7 +4,7 @@
 
 namespace yuccachute {
 
-/// What the runs of items share.
+/// Services shared by all item runs.
 struct item_run_services {
     event_loop& loop;
     slot_broker& slots;
@@ -13,17 +13,17 @@
     request_guard& guard;
 };
 
-/// What a run reports. `ended` comes exactly once, last, unless the run is dropped.
+/// Callbacks of a run. `finished` is called exactly once, and last, unless the run is destroyed before.
 struct item_run_events {
-    /// The run has its place. It comes at most once, not from within runItem().
+    /// The run was granted its slot. Called at most once, and never from within runItem().
     std::function<void()> slotGranted;
-    /// An event of the item's stream; returning false breaks the run off.
+    /// An event of the item's stream was received. Returning false aborts the run.
     std::function<bool(std::optional<std::uint64_t> id, std::string data)> event;
     std::function<void(run_outcome outcome, std::string_view reason)> finished;
 };
 
-/// One run of an item: finds a place, sends the item, collects its events. Dropping it stops the target's
-/// work and gives the place back.
+/// One run of an item: acquires a slot, sends the item to the target and receives its events. Destroying the
+/// run cancels the request to the target and releases the slot.
 class item_run {
 public:
     virtual ~item_run() = default;
@@ -39,7 +39,7 @@
     steady_time due;
     steady_time expiry;
     std::optional<std::uint64_t> lastEvent;
-    bool chargeTarget = true; ///< Whether a cut counts against the target's health.
+    bool chargeTarget = true; ///< Whether an aborted run counts against the target's health.
 };
 
 std::unique_ptr<item_run> runItem(
--- a/libs/bulk_process/src/job_admission.cpp
+++ b/libs/bulk_process/src/job_admission.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Names of routes may be long and hold any letter; keys may not.
+/// Route names can be long and contain any character, so the key uses their hash.
 std::string accountKey(const std::string& route)
 {
     char digits[20];
@@ -18,17 +18,18 @@
     return std::string("yuccachute/tokens/") + digits;
 }
 
-/// A job is refused only by a listing that is not older: results that were listed within it are counted a
-/// second late at most, the time that the platform's pages leave for it.
+/// A job is rejected only by a listing that is not older than this. The platform allows committed results to
+/// be counted up to one second late.
 constexpr milliseconds maxListingAge { 400 };
-/// After a route's limit has changed for this process, another may go on for two seconds without one, and its
-/// jobs are in no account. Only fresh listings are believed meanwhile.
+/// After a route's limit changes, other processes may not enforce it for up to 2 s, and the jobs that they
+/// create in that time are missing from the account. Until it has settled, only fresh listings are used.
 constexpr milliseconds limitSettlingTime { 3000 };
-/// Creations of one route that wait for each other in one process; each takes some 5 ms.
+/// Maximum number of queued creations per route in this process; each takes about 5 ms.
 constexpr std::size_t maxQueuedCreations = 200;
-/// Tries that meet another process's creation: with ten processes that create at once, the last one of them.
+/// Maximum number of attempts that fail because another process has created a job. Sufficient for the last of
+/// ten processes that create jobs at the same time.
 constexpr unsigned maxConflicts = 12;
-/// An unknown outcome is looked into so often before the caller is told that it is unknown.
+/// Number of consecutive unknown outcomes after which the caller is told that the outcome is unknown.
 constexpr unsigned maxUnknownOutcomes = 3;
 constexpr milliseconds minRetryAfter { 500 };
 constexpr milliseconds maxRetryAfter { 5000 };
@@ -44,10 +45,10 @@
     std::string job;
     token_limit limit;
     std::uint64_t tokens = 0;
-    store_transaction creation; ///< Without the account.
+    store_transaction creation; ///< Does not include the account.
     callback done;
     unsigned conflicts = 0;
-    unsigned unknownOutcomes = 0; ///< Calls in a row whose outcome is not known.
+    unsigned unknownOutcomes = 0; ///< Number of consecutive calls with an unknown outcome.
     bool anyOutcomeUnknown = false;
 };
 
@@ -73,14 +74,15 @@
     enqueue(std::move(pending));
 }
 
-/// One after the other: two creations of this process at once would only break each other's condition.
+/// Creations for one route run one at a time, because concurrent ones would only invalidate each other's
+/// condition.
 void job_admission::enqueue(request_ptr pending)
 {
     const auto route = pending->limit.account;
     auto& waiting = m_queues[route];
     if (waiting.size() >= maxQueuedCreations)
-        return pending->done(notRun(
-            failure_kind::unavailable, "too many jobs of this route are being accepted", minRetryAfter));
+        return pending->done(notRun(failure_kind::unavailable,
+            "too many submissions are queued for this route; retry later", minRetryAfter));
     waiting.push_back(std::move(pending));
     if (waiting.size() == 1)
         runNext(route);
@@ -106,7 +108,7 @@
     const auto& account = m_accounts[pending->limit.account];
     auto& listed = m_listedClaims[pending->limit.account];
     listed.revision = m_listedRevision;
-    // Without any listing, jobs from before the route had a limit would not be counted.
+    // Without a listing, jobs created before the route had a limit would not be counted.
     if (m_listedRevision == 0 || !account.covers(listed))
         return refreshListing(pending);
     const auto now = std::chrono::steady_clock::now();
@@ -149,7 +151,7 @@
 void job_admission::updateListing(const bulk_job_store::open_jobs& open, steady_time now)
 {
     if (open.revision < m_listedRevision)
-        return; // Asked for earlier, answered later.
+        return; // A reply that was overtaken by that of a later request.
     m_listedClaims.clear();
     std::uint64_t total = 0;
     for (const auto& job : open.jobs) {
@@ -159,7 +161,7 @@
         total += job.tokensRemaining;
     }
     const auto seconds = std::chrono::duration<double>(now - m_listedAt).count();
-    constexpr double minIntervalSeconds = 0.2; // Shorter ones say little.
+    constexpr double minIntervalSeconds = 0.2; // Shorter intervals give no useful rate.
     if (m_listedRevision != 0 && seconds > minIntervalSeconds) {
         m_finishedPerSecond
             = total < m_listedTokens ? static_cast<double>(m_listedTokens - total) / seconds : 0;
@@ -191,7 +193,7 @@
     });
 }
 
-/// The job exists, or another process has created one meanwhile.
+/// Either the job exists, or another process has created a job in the meantime.
 void job_admission::conditionFailed(const request_ptr& pending, const commit_outcome& outcome)
 {
     const auto& recordKey = pending->creation.conditions.front().key;
@@ -210,7 +212,8 @@
     m_accounts[pending->limit.account] = std::move(account.value());
     if (++pending->conflicts >= maxConflicts)
         return finish(pending,
-            notRun(failure_kind::unavailable, "too many jobs are being accepted at once", minRetryAfter));
+            notRun(failure_kind::unavailable, "too many concurrent submissions for this route; retry later",
+                minRetryAfter));
     decide(pending);
 }
 
@@ -233,15 +236,16 @@
                     return conditionFailed(pending, outcome);
                 m_accounts[pending->limit.account] = {};
                 if (++pending->conflicts >= maxConflicts)
-                    return finish(
-                        pending, notRun(failure_kind::unavailable, "the account changes", minRetryAfter));
+                    return finish(pending,
+                        notRun(failure_kind::unavailable,
+                            "the token account of the route keeps changing; retry later", minRetryAfter));
                 decide(pending);
             });
     });
 }
 
-/// A creation without an answer may still be executed, as long as the account has not changed: it is tried
-/// again, and "not run" is said only if no try can have been executed.
+/// A creation without a reply may still be executed as long as the account has not changed. It is retried,
+/// and not_run is reported only if no attempt can have been executed.
 void job_admission::callFailed(const request_ptr& pending, const failure& error)
 {
     const bool unknown = error.ran != verdict::not_run;
@@ -250,12 +254,15 @@
         return finish(pending, error);
     if (++pending->unknownOutcomes < maxUnknownOutcomes)
         return decide(pending);
-    finish(pending, mayHaveRun(failure_kind::unavailable, "it is not known whether the job was created"));
+    finish(pending,
+        mayHaveRun(failure_kind::unavailable,
+            "the store did not confirm the creation; the job may or may not exist"));
 }
 
-/// The job does not fit. It may exist all the same: a caller that missed our answer submits it again. What
-/// was tried before cannot take effect any more, because the account has changed since; with an unknown try
-/// under the present account that is not so, and nothing is promised.
+/// Rejects a job that exceeds the limit, unless it already exists because an earlier reply was lost and the
+/// caller submits it again. Earlier attempts can no longer take effect, because the account has changed
+/// since. If an attempt under the current account has an unknown outcome, this is not certain, and the
+/// outcome is reported as unknown.
 void job_admission::refuse(const request_ptr& pending)
 {
     m_store.get(pending->creation.conditions.front().key,
@@ -266,11 +273,13 @@
                 return finish(pending, bulk_job_store::creation {});
             if (pending->unknownOutcomes > 0)
                 return finish(pending,
-                    mayHaveRun(failure_kind::unavailable, "it is not known whether the job was created"));
+                    mayHaveRun(failure_kind::unavailable,
+                        "the store did not confirm the creation; the job may or may not exist"));
             const auto& listed = m_listedClaims[pending->limit.account];
             const auto waiting = m_accounts[pending->limit.account].pendingTokens(listed) + pending->tokens;
             finish(pending,
-                notRun(failure_kind::limited, "the route's limit of waiting tokens is reached",
+                notRun(failure_kind::limited,
+                    "the job exceeds the route's limit of pending tokens; retry later",
                     estimateRetryAfter(waiting - std::min(waiting, pending->limit.maxTokens))));
         });
 }
--- a/libs/bulk_process/src/job_admission.h
+++ b/libs/bulk_process/src/job_admission.h
@@ -6,32 +6,37 @@
 
 namespace yuccachute {
 
-/// The limit of a customer's waiting tokens on a route.
+/// Limit on the tokens of a customer's unfinished items on a route.
 struct token_limit {
-    std::string account; ///< Names customer and route; empty if the route is not known.
-    std::uint64_t maxTokens = 0; ///< 0: no limit.
+    /// Name of the account, derived from customer and route. Empty if the route is unknown.
+    std::string account;
+    std::uint64_t maxTokens = 0; ///< 0 means unlimited.
 };
 
-/// What a job claims of it, also while there is no limit: there may be one before the job is finished.
+/// Returns the claim of a job. It is also recorded when there is no limit, because one may be configured
+/// before the job is finished.
 token_claim claimOf(const bulk_record& record, const token_limit& limit);
 
-/// Creates jobs, and refuses those that do not fit into the limit of their route. On the loop's thread.
+/// Creates jobs, and rejects those that exceed the token limit of their route. Not thread-safe; runs on the
+/// event loop's thread.
 ///
-/// The limit holds over all processes. A creation is written on condition that the route's account has not
-/// changed since it was read (see token_account), so two processes cannot both use the same room, and a call
-/// that is executed late finds its condition broken. What counts are unfinished jobs as the store lists them:
-/// a holder that dies, or a zone that is cut off, changes nothing. Cost: one more call for a creation that
-/// meets another process's, nothing else while there is room; routes without a limit have no account.
+/// The limit holds across all processes. A job is created under the condition that the route's account has
+/// not changed since it was read (see token_account), so two processes cannot use the same capacity, and a
+/// call that the store executes late fails on its condition. The limit counts open jobs as listed in the
+/// store, so a failed holder or a partitioned zone does not change it. Cost: one extra store call if another
+/// process has created a job in the meantime, otherwise none while there is capacity. Routes without a limit
+/// have no account.
 class job_admission {
 public:
     using callback = bulk_job_store::callback<bulk_job_store::creation>;
 
     job_admission(async_store& store, bulk_job_store& jobStore);
 
-    /// As bulk_job_store::create(). Fails with `limited` and not_run, and with the time after which there may
-    /// be room, if the job does not fit, does not exist and cannot be created any more.
+    /// Like bulk_job_store::create(). A job that exceeds the limit fails with kind `limited`, verdict
+    /// not_run, and an estimate of when to retry. In this case the job does not exist, and no earlier attempt
+    /// can still create it.
     void create(const bulk_record& record, const token_limit& limit, callback done);
-    /// Takes over a listing that was asked for anyway.
+    /// Uses a listing that was read for another purpose.
     void updateListing(const bulk_job_store::open_jobs& open, steady_time now);
 
 private:
@@ -53,7 +58,8 @@
 
     async_store& m_store;
     bulk_job_store& m_jobStore;
-    std::map<std::string, std::deque<request_ptr>> m_queues; ///< By route; the first one runs.
+    /// Queues by route. Only the creation at the front of a queue is being processed.
+    std::map<std::string, std::deque<request_ptr>> m_queues;
     struct known_limit {
         std::uint64_t maxTokens = 0;
         steady_time since;
@@ -65,7 +71,8 @@
     std::int64_t m_listedRevision = 0;
     steady_time m_listedAt;
     std::uint64_t m_listedTokens = 0;
-    double m_finishedPerSecond = 0; ///< Tokens of all routes, between the last listings.
+    /// Rate at which tokens of all routes were finished between the last two listings.
+    double m_finishedPerSecond = 0;
 };
 
 } // namespace yuccachute
--- a/libs/bulk_process/src/job_calls.cpp
+++ b/libs/bulk_process/src/job_calls.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Own results may be told from memory so long after a renewal of the registration that the store confirmed:
-/// if another process had taken the job since, its results could not be older than that.
+/// Results may be served from memory for this long after a confirmed renewal of the registration. If another
+/// process has taken the job over since, its results cannot be older than the renewal.
 constexpr milliseconds maxMemoryAge { 1000 };
 constexpr std::size_t maxPageBytes = 900u << 10;
 constexpr unsigned accepted = 202;
@@ -25,7 +25,8 @@
     const bool onlyIfHeld = !findHeader(caller->request().headers, onlyIfHeldHeader).empty();
     const auto& id = std::visit([](const auto& typed) -> const std::string& { return typed.jobId; }, *call);
     if (onlyIfHeld && !m_jobs.contains(id))
-        return refuse(*caller, notRun(failure_kind::unavailable, "the job is not held here", retryAfter));
+        return refuse(
+            *caller, notRun(failure_kind::unavailable, "this process does not hold the job", retryAfter));
     std::visit([&](const auto& typed) { serve(std::move(caller), typed); }, *call);
 }
 
@@ -43,7 +44,8 @@
 {
     if (!m_store.away())
         return false;
-    refuse(caller, notRun(failure_kind::unavailable, "the store does not answer this process", retryAfter));
+    refuse(caller,
+        notRun(failure_kind::unavailable, "this process cannot reach the store; retry later", retryAfter));
     return true;
 }
 
@@ -69,7 +71,7 @@
     m_admission.create(record.value(), limit,
         [this, limit, caller, record = record.value(), id](result<bulk_job_store::creation> created) {
             if (!created) {
-                logEvent(log_level::warning, "job not accepted",
+                logEvent(log_level::warning, "job submission failed",
                     { { "job", id }, { "verdict", toString(created.error().ran) },
                         { "message", created.error().message } });
                 auto error = created.error();
@@ -84,7 +86,8 @@
             if (revision != 0)
                 addHeldJob({ record, {}, {}, std::nullopt, claimOf(record, limit), revision, false });
             else
-                m_nextScan = now(); // It may be an own one, created by a call whose answer was lost.
+                // This process may be the holder, if the reply to an earlier creation was lost.
+                m_nextScan = now();
             caller->send({ accepted, {}, "" });
         });
 }
@@ -104,7 +107,7 @@
 bool bulk_process::isCurrent(const held_job& held) const
 {
     if (held.openRevision == 0)
-        return true; // Finished or ended: it cannot change any more.
+        return true; // A finished or cancelled job no longer changes.
     return m_reconciledGeneration == m_registration.generation()
         && bootClockNow() - m_registration.lastConfirmed() < maxMemoryAge;
 }
@@ -148,7 +151,7 @@
             const auto known = m_jobs.find(id);
             const bool stillHeld = open.value() && known != m_jobs.end()
                 && known->second.openRevision == open.value()->revision;
-            if (stillHeld) // Nobody else can have committed anything.
+            if (stillHeld) // No other process can have committed results.
                 return use(*caller, *known->second.job);
             const auto address = open.value() ? addressOfLiveHolder(open.value()->holder) : std::string();
             if (!address.empty())
@@ -175,13 +178,14 @@
         const bool final = !stored.value().holder;
         auto made = makeHeldJob(std::move(stored.value()));
         use(*caller, *made.job);
-        // What is final is kept: it will be asked for again.
+        // Kept, because a finished job no longer changes and is likely to be requested again.
         if (final)
             m_jobs.emplace(id, std::move(made));
     };
     if (open)
         return m_jobStore.loadResults(id, *open, reply);
-    // Not listed, it is finished, or was created since: its holder is read anew, after the record.
+    // The job is finished, or was created after the listing. Its holder must therefore be read again, after
+    // the record.
     m_jobStore.load(id, reply);
 }
 
@@ -207,9 +211,9 @@
     m_jobStore.end(call.jobId, [this, caller, id = call.jobId](result<bool> cancelled) {
         if (!cancelled)
             return replyWithFailure(*caller, cancelled.error());
-        logEvent(log_level::info, "job ended by its caller", { { "job", id } });
-        // Not kept as final: a commit whose answer was lost may have listed results that are not known here,
-        // and whoever has read them elsewhere must find them again.
+        logEvent(log_level::info, "job cancelled by its caller", { { "job", id } });
+        // Not kept as a finished job: a commit whose reply was lost may have stored results that are unknown
+        // here. Callers that have read them from another process must see them again.
         if (const auto found = m_jobs.find(id); found != m_jobs.end())
             dropHeldJob(found);
         caller->send({ 200, {}, "" });
--- a/libs/bulk_process/src/job_commits.cpp
+++ b/libs/bulk_process/src/job_commits.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-/// Results are committed together: each commit is a priced call, and a caller asks twice a second. What is
-/// not committed when its process is killed or cut off runs again as a whole: with 900 ms 84 of 100 items
-/// were on time on days with trouble of a deployment of 18 targets, with 500 ms 87, for 3% more calls.
+/// Results are collected for this time before they are committed, because each commit is a billed call and
+/// callers poll only twice per second. Items whose results are not committed when the process is killed or
+/// partitioned run again in full. On days with faults in a deployment of 18 targets, 900 ms gave 84 of 100
+/// items on time, 500 ms gave 87 for 3% more calls.
 constexpr milliseconds maxCommitDelay { 500 };
 
 std::string randomToken()
@@ -28,8 +29,8 @@
         && time >= held.nextCommitAt;
 }
 
-/// When the results of one job are due, those of the others travel with them: with each job's in a call of
-/// its own, 85 items a second were 85 calls, now each process makes two a second.
+/// When the results of one job are due, those of all other jobs are committed with them. With one call per
+/// job, 85 items per second caused 85 calls per second; joint commits reduce this to two per process.
 void bulk_process::commitDue()
 {
     const auto time = now();
@@ -108,12 +109,12 @@
 {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end() || found->second.openRevision != revision)
-        return; // Dropped, ended or taken anew meanwhile.
+        return; // The job was dropped, cancelled or taken over again in the meantime.
     auto& held = found->second;
     held.committing = false;
     held.mustCommitSeparately = false;
     if (!outcome) {
-        logEvent(log_level::warning, "results not committed",
+        logEvent(log_level::warning, "results could not be committed; retrying",
             { { "job", id }, { "message", outcome.error().message } });
         held.nextCommitAt = now() + commitRetry;
         return;
--- a/libs/bulk_process/src/job_progress.cpp
+++ b/libs/bulk_process/src/job_progress.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A job whose holder goes loses half of this on average, of runs of five to seven seconds; one call each
-/// time.
+/// Costs one call each time. A failed holder loses half an interval of progress on average, of runs that take
+/// 5 to 7 s.
 constexpr milliseconds progressSaveInterval { 2000 };
-/// Less is not worth the bytes: some two seconds of one item.
+/// Fewer unsaved events are not worth a write; equals about 2 s of one item.
 constexpr std::size_t minUnsavedEvents = 100;
-/// Of one call, before compression; a value of the store may have a megabyte.
+/// Per call, before compression. A value of the store is limited to 1 MB.
 constexpr std::size_t maxBytes = 700u << 10;
 
 std::size_t bytesOf(std::span<const item_progress> items)
@@ -26,9 +26,9 @@
 
 } // namespace
 
-/// Guards against whole runs being repeated: a process that is killed, frozen or cut off takes with it what
-/// its items have received, up to their last event; the next holder began them anew and made them late. What
-/// is saved is a prefix of the item's text, whoever received it, so an older save does no harm.
+/// Prevents items from running again in full after their process was killed, frozen or partitioned: without
+/// saved progress, the next holder started them from the beginning, and they finished late. Saved progress is
+/// always a prefix of the item's output, whichever process received it, so outdated progress is harmless.
 void bulk_process::saveProgress()
 {
     m_nextProgressSave = now() + progressSaveInterval;
@@ -38,7 +38,7 @@
     for (auto job = m_jobs.begin(); job != m_jobs.end(); ++job) {
         const auto& held = job->second;
         const auto events = held.job->bufferedEvents();
-        // Fewer than before: items have got their results.
+        // The number drops when items finish.
         const auto unsaved = events > held.eventsSaved ? events - held.eventsSaved : 0;
         if (held.openRevision != 0 && !held.cancelled && unsaved >= minUnsavedEvents)
             changed.emplace_back(unsaved, job);
@@ -61,8 +61,9 @@
     m_jobStore.saveProgress(saves, [this](result<bool> saved) {
         m_saving = false;
         if (!saved)
-            logEvent(log_level::warning, "progress not saved", { { "message", saved.error().message } });
-        else if (!saved.value()) // One of the jobs is somebody else's now: the list of jobs tells which.
+            logEvent(
+                log_level::warning, "progress could not be saved", { { "message", saved.error().message } });
+        else if (!saved.value()) // Another process has taken over one of the jobs; find out which.
             m_nextScan = std::min(m_nextScan, now());
     });
 }
--- a/libs/bulk_process/src/job_runs.cpp
+++ b/libs/bulk_process/src/job_runs.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// Runs and asks for places at once; each costs a few kilobytes.
+/// Maximum number of concurrent runs and requests for slots; each costs a few kilobytes.
 constexpr std::size_t maxRuns = 160;
-/// Of these, items that wait for a place; the first ones by due time. As soon as one has its place the next
-/// asks, within a few milliseconds, so this many fill thousands of slots a second when a live peak ends. With
-/// all items asking, 1,000 of them at a peak would be 12,000 asks a second,
-/// which the dispatchers answer in place of live requests.
+/// Maximum number of runs without a slot, taken in order of due time. The next item requests a slot as soon
+/// as one is granted, within a few milliseconds, so this is enough to fill thousands of slots per second when
+/// a peak of live load ends. If all items requested slots, 1,000 of them would send 12,000 requests per
+/// second at such a peak, and the dispatchers would answer them instead of live requests.
 constexpr std::size_t maxRunsWithoutSlot = 24;
-/// When items are given up whose route names no expiry.
+/// Expiry of items whose route does not configure one.
 constexpr std::chrono::hours defaultExpiry { 24 };
-/// An item that ends its targets waits so long before each further run. It cannot be refused as a live
-/// request is, since it was accepted, nor be given up before it expires; a few ends until then are the price
-/// of a wrong suspicion costing an item no more than this.
+/// Delay before each run of an item that is suspected of terminating targets. The item was accepted, so it
+/// cannot be refused like a live request, nor be abandoned before it expires. A few more terminated targets
+/// until then are accepted, so that a wrongly suspected item is only delayed.
 constexpr milliseconds suspectedItemDelay { 20000 };
 
 } // namespace
@@ -47,7 +47,7 @@
 
 held_job bulk_process::makeHeldJob(bulk_job_store::stored_job stored)
 {
-    // Clocks of VMs differ, and may jump: an age is believed only as far as it is possible.
+    // Clocks of VMs differ and may jump, so the age is clamped to the possible range.
     const auto age = std::clamp(milliseconds { wallClockMs() - stored.record.acceptedMs }, milliseconds { 0 },
         m_settings.resultRetention);
     held_job held;
@@ -80,7 +80,8 @@
 void bulk_process::dropHeldJob(job_map::iterator job)
 {
     for (auto& reader : job->second.readers)
-        refuse(*reader.caller, notRun(failure_kind::unavailable, "the job changes hands", retryAfter));
+        refuse(*reader.caller,
+            notRun(failure_kind::unavailable, "this process no longer holds the job; retry", retryAfter));
     m_jobs.erase(job);
 }
 
@@ -95,8 +96,9 @@
         else if (isCurrent(held))
             replyWithResults(*reader.caller, held, reader.after);
         else
-            refuse(
-                *reader.caller, notRun(failure_kind::unavailable, "the store is not in reach", retryAfter));
+            refuse(*reader.caller,
+                notRun(failure_kind::unavailable,
+                    "the store does not confirm that the results are current; retry", retryAfter));
     }
     held.readers = std::move(kept);
 }
@@ -170,7 +172,7 @@
     const auto& record = job.record();
     const auto* matchedRoute = table.match(record.host, record.items.front().path);
     if (!matchedRoute) {
-        logEvent(log_level::warning, "route of a job is gone",
+        logEvent(log_level::warning, "no route matches the job; abandoning its waiting items",
             { { "job", record.id }, { "config", table.version } });
         job.abandonWaiting(now());
         return false;
@@ -186,7 +188,7 @@
         return true;
     request.service = matchedRoute->pickService(std::hash<std::string> {}(item.id));
     request.cost = static_cast<double>(item.tokens);
-    // To dispatchers a hopeless item is overdue already.
+    // Dispatchers treat an item that will miss its due time as overdue.
     request.due = late ? now() : job.due();
     request.expiry = now() + defaultRunTime;
     request.lastEvent = next->lastEvent;
--- a/libs/bulk_process/src/job_takeover.cpp
+++ b/libs/bulk_process/src/job_takeover.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The list of open jobs is looked through so often: it finds jobs whose holder has gone, and jobs that were
-/// ended elsewhere, which must stop within three seconds.
+/// Interval of scans of the open jobs. They find jobs whose holder is gone, and jobs cancelled through
+/// another process, whose runs must stop within 3 s.
 constexpr milliseconds scanInterval { 2000 };
 
 } // namespace
@@ -26,8 +26,8 @@
                 return;
             m_admission.updateListing(open.value(), now());
             reconcile(open.value());
-            // A frozen process wakes, registers anew and believes that it holds what another has taken
-            // meanwhile: from here on it knows what it holds under this registration.
+            // A frozen process may register again while it still believes that it holds jobs that others have
+            // taken over. From here on its jobs are known to match this registration.
             m_reconciledGeneration = generation;
         });
 }
@@ -59,10 +59,11 @@
         const bool missing = held.openRevision != 0 && held.openRevision <= open.revision
             && !listed.contains(current->first);
         if (!missing || held.committing)
-            continue; // Its last commit may be what has removed it.
-        // Its caller has ended it, or another process has taken and finished it while this one was
-        // frozen. Only the store knows its results.
-        logEvent(log_level::info, "job finished elsewhere", { { "job", current->first } });
+            continue; // Its last commit may have closed the job.
+        // The job was cancelled, or another process took it over and finished it while this one was frozen.
+        // Its results are known only to the store.
+        logEvent(
+            log_level::info, "job closed by another process; dropping it", { { "job", current->first } });
         dropHeldJob(current);
     }
 }
@@ -104,7 +105,7 @@
     m_jobStore.load(job.id, [this, id = job.id](result<bulk_job_store::stored_job> stored) {
         m_loadingJobs.erase(id);
         if (!stored) {
-            logEvent(log_level::warning, "job not loaded",
+            logEvent(log_level::warning, "job could not be loaded; retrying",
                 { { "job", id }, { "message", stored.error().message } });
             m_nextScan = std::min(m_nextScan, now() + commitRetry);
             return;
--- a/libs/bulk_process/src/open_lookup.cpp
+++ b/libs/bulk_process/src/open_lookup.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Callers wait 1.5 s for an answer and come twice a second, so this delay costs them nothing.
+/// Minimum time between calls. Callers wait 1.5 s for a reply and poll twice per second, so they are not
+/// affected.
 constexpr milliseconds minCallInterval { 200 };
 
 } // namespace
@@ -43,7 +44,7 @@
         return m_jobStore.listOpen(
             [this, sent = std::move(sent)](
                 const result<bulk_job_store::open_jobs>& open) { deliver(sent, open); });
-    // All ask about one job: its key is shorter than the list.
+    // All lookups are for the same job: reading its key is cheaper than the listing.
     m_jobStore.readOpenJob(job, [this, sent](const result<std::optional<bulk_job_store::open_job>>& open) {
         callFinished();
         for (const auto& [id, done] : sent)
--- a/libs/bulk_process/src/open_lookup.h
+++ b/libs/bulk_process/src/open_lookup.h
@@ -8,20 +8,20 @@
 
 namespace yuccachute {
 
-/// Tells who holds a job as the store knows it. On the loop's thread.
+/// Looks up the holders of jobs in the store. Not thread-safe; runs on the event loop's thread.
 ///
-/// While a process cannot be sure of what it holds, because its registration was not confirmed for a second
-/// or because it has just started, each question of a caller about a job is one for the store. Callers ask
-/// twice a second for each job: 250 jobs were 500 calls a second, as long as the doubt lasted. So questions
-/// that come close together share one listing of all unfinished jobs.
+/// A process that has just started, or whose registration was not confirmed for a second, cannot answer
+/// callers from memory and must ask the store. Callers poll each job twice per second, so 250 jobs would
+/// cause 500 store calls per second. Lookups that arrive close together therefore share one listing of all
+/// open jobs.
 class open_lookup {
 public:
     using callback = bulk_job_store::callback<std::optional<bulk_job_store::open_job>>;
 
     open_lookup(event_loop& loop, bulk_job_store& jobStore);
 
-    /// The answer is the store's of a moment after the question; nothing if the job is finished, ended or not
-    /// there.
+    /// Calls `done` with the state in the store at some time after this call, or with nullopt if the job is
+    /// finished, cancelled or does not exist.
     void lookUp(const std::string& jobId, callback done);
 
 private:
--- a/libs/bulk_process/src/process.h
+++ b/libs/bulk_process/src/process.h
@@ -11,50 +11,54 @@
 
 #include <set>
 
-/// The batch process. Its parts stand in files of their own: calls of callers, running of items, commits of
-/// results, and jobs whose holder has gone.
+/// The batch process. Its implementation is split by topic: requests of callers (job_calls), item runs
+/// (job_runs), commits (job_commits), saved progress (job_progress) and takeover of other processes' jobs
+/// (job_takeover).
 namespace yuccachute {
 
 constexpr milliseconds commitRetry { 200 };
 constexpr milliseconds retryAfter { 500 };
-/// What a run takes until some have been seen: a few hundred events, 20 ms each.
+/// Initial estimates, used until runs have been measured: a run has a few hundred events, 20 ms apart.
 constexpr double initialMeanRunMs = 4000;
 constexpr double initialMeanEventMs = 20;
 
-/// A caller that waits for a result of a job.
+/// A caller waiting for new results of a job.
 struct waiting_reader {
     std::shared_ptr<http_exchange> caller;
     std::size_t after = 0;
     steady_time until;
 };
 
-/// A job that this process holds, or has read after its end.
+/// A job that this process holds, or a finished or cancelled one that it has read from the store.
 struct held_job {
     std::unique_ptr<bulk_job> job;
-    std::int64_t openRevision = 0; ///< 0: finished or ended, and only read.
+    std::int64_t openRevision = 0; ///< 0 for a finished or cancelled job, which is read-only.
     token_claim claim;
     std::map<std::uint32_t, std::unique_ptr<item_run>> runs;
-    std::map<std::uint32_t, unsigned> consecutiveAborts; ///< In a row without a new event, by item.
-    std::map<std::uint32_t, loop_timer> requeueTimers; ///< Of items that were cut, or end their targets.
-    std::set<std::uint32_t> suspectDelayPassed; ///< Items that end their targets, and have had their pause.
+    /// Aborted runs without a new event in between, by item.
+    std::map<std::uint32_t, unsigned> consecutiveAborts;
+    /// Delays of items whose runs were aborted, or that are suspected of terminating targets.
+    std::map<std::uint32_t, loop_timer> requeueTimers;
+    /// Items suspected of terminating targets that have waited for their delay, and may run next.
+    std::set<std::uint32_t> suspectDelayPassed;
     std::vector<waiting_reader> readers;
     steady_time nextCommitAt;
-    std::size_t eventsSaved = 0; ///< At the last saving of progress.
+    std::size_t eventsSaved = 0; ///< Number of events covered by the last save of progress.
     steady_time acceptedAt;
     bool committing = false;
-    bool mustCommitSeparately = false; ///< A call together with other jobs has failed on a condition.
-    bool cancelled = false; ///< By its caller.
+    bool mustCommitSeparately = false; ///< Set after a joint commit failed on a condition.
+    bool cancelled = false; ///< Cancelled by its caller.
 };
 
-/// What is seen of one run, for the mean of them.
+/// Measurements of one run.
 struct run_statistics {
-    steady_time firstEventAt; ///< First event.
+    steady_time firstEventAt; ///< Time of the first event.
     std::size_t events = 0;
 };
 
 using job_map = std::map<std::string, held_job, std::less<>>;
 
-/// All on the loop's thread.
+/// Not thread-safe; all methods run on the event loop's thread.
 class bulk_process {
 public:
     bulk_process(const process_settings& settings, const bulk_adapter& adapter,
@@ -68,33 +72,36 @@
     void targetsChanged(std::span<const target_change> changes);
     void nodesChanged();
 
-    // --- Calls of callers
+    // --- Requests from callers
     void serve(std::shared_ptr<http_exchange> caller);
     void replyWithFailure(http_exchange& caller, const failure& error);
-    /// While the store turns this process away, each question of a caller would be one more priced call that
-    /// fails, up to thousands a second, and wait for its timeout if the store is silent. The caller is told
-    /// at once, and its entry asks another process; this one notices the store's return by its own renewals.
+    /// Refuses a request while the store does not respond. Otherwise each request would be one more billed
+    /// call that fails, up to thousands per second, and would wait for its timeout if the store does not
+    /// respond at all. The caller's entry process can try another batch process at once. This process detects
+    /// the store's recovery by renewing its own registration.
     bool refuseIfStoreUnavailable(http_exchange& caller);
     void submit(std::shared_ptr<http_exchange> caller);
-    /// The limit of waiting tokens that a submission is under.
+    /// Returns the token limit that applies to a submission.
     token_limit limitFor(const bulk_record& record) const;
-    /// Whether what this process knows of a job is what the store knows.
+    /// Returns whether the in-memory state of a job is known to match the store.
     bool isCurrent(const held_job& held) const;
     void serve(std::shared_ptr<http_exchange> caller, const read_results_call& call);
     void replyWithResults(http_exchange& caller, const held_job& held, std::size_t after);
     void replyFromStore(std::shared_ptr<http_exchange> caller, const read_results_call& call);
     using job_reader = std::function<void(http_exchange&, const bulk_job&)>;
-    /// Answers from the store what this process does not know, or cannot be sure of.
+    /// Reads a job from the store and passes it to `use`, for jobs that this process does not hold or cannot
+    /// be sure to hold. Redirects the caller if another live process is the holder.
     void useStoredJob(std::shared_ptr<http_exchange> caller, const std::string& id, job_reader use);
-    /// Address of another process that holds a job, if it lives.
+    /// Returns the address of the other process that holds a job, or an empty string if that process is not
+    /// registered.
     std::string addressOfLiveHolder(const bulk_holder& holder) const;
-    /// Reads a job that nobody alive holds, with its holder as the store has just told it.
+    /// Reads a job without a live holder. `open` is its open-job entry as just read from the store.
     void loadForCaller(std::shared_ptr<http_exchange> caller, const std::string& id,
         const std::optional<bulk_job_store::open_job>& open, job_reader use);
     void serve(std::shared_ptr<http_exchange> caller, const read_item_body_call& call);
     void serve(std::shared_ptr<http_exchange> caller, const cancel_job_call& call);
 
-    // --- Jobs
+    // --- Held jobs
     bulk_limits limitsOf(const bulk_record& record, milliseconds age) const;
     steady_time dueOf(const bulk_record& record, milliseconds age) const;
     held_job makeHeldJob(bulk_job_store::stored_job stored);
@@ -102,26 +109,27 @@
     void dropHeldJob(job_map::iterator job);
     void notifyReaders(held_job& held);
 
-    // --- Running items
+    // --- Item runs
     std::size_t runs() const;
-    /// Runs that have no place yet.
+    /// Number of runs that have no slot yet.
     std::size_t runsWithoutSlot() const;
-    /// Starts what may start: the job that is due first goes first, but one that can only be late goes last.
-    /// Under overload, the earliest due alone would finish everything a little too late.
+    /// Starts runs of waiting items, ordered by due time. Jobs that can only be late come last: with
+    /// earliest-due-first alone, an overload would make all jobs slightly late.
     void startRuns();
-    /// Whether the job's next item can only be late, by what items have taken lately.
+    /// Returns whether the job's next item can only finish after the due time, judged by recent run
+    /// durations.
     bool willMissDeadline(const bulk_job& job, steady_time time) const;
-    /// Follows outcome long an undisturbed run takes, in all and by event.
+    /// Updates the mean duration of runs and the mean time per event with an uninterrupted run.
     void updateMeanDurations(const run_statistics& run);
     bool startItem(held_job& held, const routing_table& table);
-    /// Whether an item is known to end its targets and has to wait.
+    /// Delays an item that is suspected of terminating targets. Returns false if the item may run now.
     bool deferSuspectedItem(held_job& held, std::uint32_t index, const item_run_request& request);
     void runFinished(
         const std::string& id, std::uint32_t index, run_outcome outcome, std::string_view reason);
-    /// Lets the item wait for its next run, at once or after a pause.
+    /// Returns the item to the waiting items, at once or after a delay.
     void requeueItem(const std::string& id, std::uint32_t index, run_outcome outcome, milliseconds delay);
 
-    // --- Committing
+    // --- Commits
     void commitDue();
     bool mayCommit(const held_job& held, steady_time time) const;
     bulk_job_store::group_commit makeCommit(held_job& held) const;
@@ -131,29 +139,30 @@
     void commitFinished(
         const std::string& id, std::int64_t revision, const result<bulk_job_store::commit_result>& outcome);
 
-    // --- Saving progress
-    /// Saves outcome far items have come, so that a job that changes hands goes on where it stood.
+    // --- Saved progress
+    /// Saves the progress of items, so that they resume where they stopped if another process takes the job
+    /// over.
     void saveProgress();
 
-    // --- Jobs of others
+    // --- Takeover
     void scan();
     void reconcile(const bulk_job_store::open_jobs& open);
-    /// Whether a job's holder has gone and this process is the one to take it.
+    /// Returns whether the job's holder is gone and this process is the one to take the job over.
     bool shouldTakeOver(const bulk_job_store::open_job& job) const;
     void takeOver(const bulk_job_store::open_job& job);
     void loadOwnJob(const bulk_job_store::open_job& job);
 
-    // --- Time and signals
+    // --- Timers and signals
     void tick();
     void removeExpiredJobs(steady_time time);
-    /// Gives up all jobs: the others take them as soon as this process has left the list.
+    /// Releases all jobs. Other processes take them over once this process is no longer registered.
     void releaseJobs();
     void awaitCommits();
     void finishStop();
     void handleSignal(int signal);
     void refreshMetrics();
 
-    /// The deadline that a run's target is given; most runs take a few seconds.
+    /// Timeout passed to targets with each run. Most runs take a few seconds.
     static constexpr std::chrono::seconds defaultRunTime { 60 };
     process_settings m_settings;
     const bulk_adapter& m_adapter;
@@ -176,13 +185,14 @@
     retirement m_retirement;
     loop_timer m_stopTimer;
     job_map m_jobs;
-    std::set<std::string> m_loadingJobs; ///< Jobs that are being taken or loaded.
+    std::set<std::string> m_loadingJobs; ///< Jobs that are being taken over or loaded.
     std::unique_ptr<loop_ticker> m_ticker;
     std::unique_ptr<http_listener> m_listener;
     std::unique_ptr<http_listener> m_metricsListener;
     steady_time m_nextScan;
     steady_time m_lastScan;
-    std::uint64_t m_reconciledGeneration = 0; ///< Of the registration at the last look at the open jobs.
+    /// Registration generation at the last comparison with the open jobs.
+    std::uint64_t m_reconciledGeneration = 0;
     steady_time m_stopAt;
     double m_meanRunMs = initialMeanRunMs;
     double m_meanEventMs = initialMeanEventMs;
--- a/libs/bulk_process/src/retirement.cpp
+++ b/libs/bulk_process/src/retirement.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr milliseconds tickInterval { 500 };
-/// The VM's own process answers within some hundred milliseconds; others report for it after this. By then
-/// its registration, and with it its hold on its jobs, has lapsed if it is dead.
+/// A live process reports for its own VM within some hundred milliseconds; other processes report for it
+/// after this time. If it is down, its registration has expired by then, and it no longer holds its jobs.
 constexpr milliseconds reportOtherVmsAfter { 3500 };
 
 } // namespace
@@ -67,12 +67,12 @@
     store_transaction reporting;
     reporting.writes.push_back(m_protocol.retirementReport(vm, done));
     m_store.commit(reporting, [this, vm, revision = order.revision](result<commit_outcome> outcome) {
-        logEvent(outcome ? log_level::info : log_level::warning, "VM reported empty",
+        logEvent(outcome ? log_level::info : log_level::warning, "retirement report",
             { { "vm_ordered", vm }, { "message", outcome ? std::string_view() : outcome.error().message } });
         const auto found = m_orders.find(vm);
         if (outcome || found == m_orders.end() || found->second.revision != revision)
             return;
-        found->second.reported = false; // Tried again with the next tick, or at once for this VM's own.
+        found->second.reported = false; // Retried with the next tick, or below for this VM.
         if (vm == m_vm)
             report(vm, true);
     });
--- a/libs/bulk_process/src/retirement.h
+++ b/libs/bulk_process/src/retirement.h
@@ -6,17 +6,18 @@
 
 namespace yuccachute {
 
-/// Answers operators' orders to empty a VM. Nothing lasts on a VM's disk, so a VM is empty as soon as its
-/// jobs have been taken by others; the report of a VM that is dead, or slow to answer, is written by another
-/// process.
+/// Executes operators' orders to empty a VM. VMs have no persistent state, so a VM is empty as soon as other
+/// processes have taken over its jobs. For a VM that is down or slow to respond, another process reports
+/// this.
 class retirement {
 public:
-    /// `releaseOwnJobs` gives up this process's jobs and calls back when that is done.
+    /// `releaseOwnJobs` releases the jobs of this process; ownJobsReleased() must be called once that is
+    /// done.
     retirement(event_loop& loop, async_store& store, const bulk_protocol& protocol, std::string vm,
         std::function<void()> releaseOwnJobs);
 
     void ordersChanged(const store_section& orders);
-    /// This process holds nothing any more.
+    /// Must be called when this process no longer holds any job.
     void ownJobsReleased();
 
 private:
--- a/libs/bulk_process/tests/fake_store.h
+++ b/libs/bulk_process/tests/fake_store.h
@@ -8,8 +8,8 @@
 
 namespace yuccachute {
 
-/// The rules of the platform's store in memory. Answers can be lost, before or after the call takes effect,
-/// and calls can be executed later.
+/// In-memory store with the semantics of the platform's store. Requests and replies can be lost, and calls
+/// can be executed late.
 class fake_store final : public async_store {
 public:
     enum class fault : std::uint8_t { none, refused, request_lost, reply_lost, executed_late };
@@ -91,7 +91,8 @@
     }
 
     std::map<std::string, stored_value, std::less<>> values;
-    bool returnsConditionKeys = true; ///< Whether a refused change tells the keys of its conditions.
+    /// Whether a failed transaction returns the values of its conditions' keys.
+    bool returnsConditionKeys = true;
     std::deque<fault> faults;
     std::vector<store_transaction> late;
     std::int64_t revision = 10;
--- a/libs/bulk_process/tests/test_bulk_job_store.cpp
+++ b/libs/bulk_process/tests/test_bulk_job_store.cpp
@@ -13,7 +13,7 @@
     return { std::move(id), "h", 1, { { "i0", "/p", {}, "b", 1 }, { "i1", "/p", {}, "b", 1 } } };
 }
 
-/// Smaller than the platform's, to cut small records.
+/// Smaller than the platform's limit, so that small records are split.
 constexpr std::size_t valueBytes = 2000;
 
 bulk_record largeRecord(std::string id, std::size_t bodyBytes)
@@ -82,7 +82,7 @@
 
 } // namespace
 
-TEST_CASE("a job is created once, however often it is submitted")
+TEST_CASE("a job that is submitted repeatedly is created once")
 {
     fixture f;
     CHECK(f.create("a").value().openRevision == 11);
@@ -95,8 +95,9 @@
     CHECK(f.load("b").error().kind == failure_kind::not_found);
 }
 
-// Story: the store executes a submission, and its answer is lost. The caller is refused, though the job runs.
-TEST_CASE("a creation whose answer was lost is found, and never said not to exist")
+// Guards against a submission reported as failed although the job runs: the store created the job, and its
+// reply was lost.
+TEST_CASE("a creation whose reply was lost is found, and never reported as not run")
 {
     fixture f;
     f.store.faults = { fake_store::fault::reply_lost };
@@ -112,7 +113,7 @@
     CHECK(f.create("c").value().openRevision == 0);
 }
 
-TEST_CASE("results are committed in order, and the last ones finish the job")
+TEST_CASE("results are committed in order, and the last group finishes the job")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
@@ -129,8 +130,8 @@
     CHECK(stored.value().groups[1].results[0].text == "y");
 }
 
-// Story: the answer to a commit is lost; the second try finds its place taken, by itself.
-TEST_CASE("a commit whose answer was lost is recognised as one's own")
+// After a lost reply the retried commit finds its key taken by its own first attempt.
+TEST_CASE("a commit whose reply was lost is recognised as one's own")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
@@ -141,9 +142,9 @@
     CHECK(f.load("a").value().groups.size() == 1);
 }
 
-// Story: a process is paused; its lease lapses and another takes the job and lists results. The first wakes,
-// still believes that it holds the job, and lists its own: positions change, items stand twice.
-TEST_CASE("a holder that was replaced can commit nothing, also by a call that is executed late")
+// Guards against duplicate or reordered results: a process is paused, its lease expires, another one takes
+// the job over and commits, and the first one resumes and commits as if it still held the job.
+TEST_CASE("a former holder cannot commit, not even by a call that is executed late")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
@@ -160,8 +161,8 @@
     CHECK(f.load("a").value().groups.size() == 1);
 }
 
-// Story: a caller ends its job and is told so; a commit that was on its way revives it.
-TEST_CASE("an ended job takes no more results, and ending it again changes nothing")
+// Guards against a commit in flight that revives a job after its caller was told that it is cancelled.
+TEST_CASE("a cancelled job accepts no more results, and cancelling it again has no effect")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
@@ -178,7 +179,7 @@
     CHECK(f.end("b").value());
 }
 
-TEST_CASE("a removed job leaves nothing")
+TEST_CASE("removing a job removes all its keys")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
@@ -187,9 +188,9 @@
     CHECK(f.store.values.empty());
 }
 
-// Story: a caller sends a job of 3 MB, well within what it may send; it was refused with 413 because its
-// record is larger than one value of the store.
-TEST_CASE("a job larger than a value of the store is kept in parts")
+// Guards against jobs refused with 413 although their size is allowed: a job of 3 MB has a record that
+// exceeds the size limit of a value in the store.
+TEST_CASE("a job larger than a value of the store is stored in parts")
 {
     fixture f;
     const auto large = largeRecord("large", 3 * valueBytes);
@@ -208,7 +209,7 @@
     CHECK(f.store.values.empty());
 }
 
-TEST_CASE("a job that does not fit into one call of the store is refused")
+TEST_CASE("a job that does not fit into one transaction is refused")
 {
     fixture f;
     std::optional<result<bulk_job_store::creation>> created;
@@ -219,9 +220,9 @@
     CHECK(f.store.values.empty());
 }
 
-// Story: the process that holds a job is killed while ten of its items are nearly done. The next holder began
-// all of them anew; they ended late, and their targets had worked twice.
-TEST_CASE("a job that changes hands goes on where its items stood")
+// Guards against items that start from the beginning after a takeover: the holder was killed while ten items
+// were nearly finished; they finished late, and their targets did the work twice.
+TEST_CASE("the items of a job resume from saved progress after a takeover")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
@@ -243,19 +244,19 @@
     CHECK(next->index == started->index);
     CHECK(next->lastEvent == 2);
     CHECK(again.progress() == job.progress());
-    // A former holder's late save does nothing.
+    // A late save by the former holder has no effect.
     saved.reset();
     const std::vector<bulk_job_store::progress_save> late { { "a", revision, encodeItemProgress({}) } };
     f.jobStore.saveProgress(late, f.into(saved));
     CHECK(!saved->value());
     CHECK(f.load("a").value().progress.size() == 1);
-    // It goes with the job's end.
+    // Progress is removed when the job is finished.
     REQUIRE(f.commit(f.other, 0, first, taken, false).value() == bulk_job_store::commit_result::committed);
     REQUIRE(f.commit(f.other, 1, second, taken, true).value() == bulk_job_store::commit_result::committed);
     CHECK(!f.store.values.contains("yuccachute/progress/a"));
 }
 
-TEST_CASE("saved progress of an item that has got its result since is not taken over")
+TEST_CASE("saved progress of an item that already has a result is ignored")
 {
     bulk_job job(record("a"), {}, {});
     job.addCommitted(first);
@@ -280,7 +281,7 @@
 
 } // namespace
 
-TEST_CASE("results of several jobs are committed by one call")
+TEST_CASE("results of several jobs are committed in one transaction")
 {
     fixture f;
     const auto a = f.create("a").value().openRevision;
@@ -297,10 +298,9 @@
     CHECK(!f.load("b").value().holder);
 }
 
-// Story: one of several jobs has been taken by another process. The call that commits results of all of them
-// does nothing; were it taken for done, the others' results would be lost, and were it repeated, they would
-// wait for ever.
-TEST_CASE("a job that was lost does not hold up those that are committed with it")
+// A joint commit fails if another process has taken over one of its jobs. If the failure counted as success,
+// the results of the other jobs would be lost; if the same call were repeated, they would never be committed.
+TEST_CASE("a lost job does not block the jobs that are committed with it")
 {
     fixture f;
     const auto a = f.create("a").value().openRevision;
@@ -319,9 +319,9 @@
     CHECK(alone->value() == bulk_job_store::commit_result::committed);
 }
 
-// Story: the answer to a common commit is lost, or the call is executed late. The second try must find its
-// own results, and nothing may stand twice.
-TEST_CASE("a common commit whose answer was lost is settled job by job")
+// The reply to a joint commit is lost, or the call is executed late. Each job's retry must recognise its own
+// results, and none may be stored twice.
+TEST_CASE("a joint commit whose reply was lost is resolved job by job")
 {
     fixture f;
     const auto a = f.create("a").value().openRevision;
@@ -339,7 +339,7 @@
     CHECK(f.load("b").value().groups.size() == 1);
 }
 
-TEST_CASE("no more jobs are committed by one call than it may have entries and bytes")
+TEST_CASE("a joint commit is limited in operations and bytes")
 {
     fixture f;
     const bulk_result_group large { "t", { { 0, true, std::string(valueBytes, 'x') } } };
--- a/libs/bulk_process/tests/test_job_admission.cpp
+++ b/libs/bulk_process/tests/test_job_admission.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Two items of 100 tokens each.
+/// A job of two items with 100 tokens each.
 bulk_record record(std::string id)
 {
     return { std::move(id), "h", 1, { { "i0", "/p", {}, "b", 100 }, { "i1", "/p", {}, "b", 100 } } };
 }
 
-/// A batch process, as far as it accepts jobs.
+/// The parts of a batch process that accept jobs.
 struct node {
     node(event_loop& loop, fake_store& store, std::string vm)
         : jobStore(loop, store, { std::move(vm), 1 }, 100000)
@@ -57,7 +57,7 @@
             [&](result<bulk_job_store::commit_result> committed) { outcome.emplace(std::move(committed)); });
         REQUIRE(outcome->value() == bulk_job_store::commit_result::committed);
     }
-    /// Tokens of all jobs that the store holds as unfinished.
+    /// Pending tokens of all open jobs in the store.
     std::uint64_t pendingTokens()
     {
         std::uint64_t tokens = 0;
@@ -67,7 +67,8 @@
         });
         return tokens;
     }
-    void pause() { std::this_thread::sleep_for(milliseconds { 450 }); } // Listings are believed for 400 ms.
+    // Longer than a listing counts as fresh (400 ms).
+    void pause() { std::this_thread::sleep_for(milliseconds { 450 }); }
 
     event_loop loop;
     fake_store store;
@@ -77,9 +78,8 @@
 
 } // namespace
 
-// Story: each batch process counted its own jobs only. Three of them accepted three times what the operators
-// allow.
-TEST_CASE("a route's limit holds over all processes")
+// Guards against processes that count only their own jobs: three of them accepted three times the limit.
+TEST_CASE("a route's limit holds across all processes")
 {
     fixture f;
     CHECK(f.one.accepted("a"));
@@ -87,14 +87,14 @@
     CHECK(f.one.refused("c"));
     CHECK(f.two.refused("c"));
     CHECK(f.pendingTokens() == 400);
-    CHECK(f.two.accepted("a")); // It is there already, however full the route is.
+    CHECK(f.two.accepted("a")); // The job already exists, so the limit does not matter.
     CHECK(f.one.accepted("c", 0)); // No limit.
     f.pause();
     CHECK(f.two.refused("d", 700));
     CHECK(f.two.accepted("d", 800));
 }
 
-TEST_CASE("the limit holds where a refused change does not tell what has changed")
+TEST_CASE("the limit holds if a failed transaction does not return the changed keys")
 {
     fixture f;
     f.store.returnsConditionKeys = false;
@@ -104,7 +104,7 @@
     CHECK(f.one.refused("c"));
 }
 
-TEST_CASE("listed results and ended jobs make room")
+TEST_CASE("committed results and cancelled jobs free capacity")
 {
     fixture f;
     const auto a = f.one.submit("a");
@@ -125,7 +125,7 @@
     CHECK(f.two.refused("e"));
 }
 
-TEST_CASE("operators may move the limit below what waits: nothing more is accepted, nothing is lost")
+TEST_CASE("a limit lowered below the pending tokens rejects new jobs and keeps existing ones")
 {
     fixture f;
     CHECK(f.one.accepted("a"));
@@ -147,9 +147,9 @@
     CHECK(f.two.refused("b", 300));
 }
 
-// Story: the answer to a creation is lost, and the creation takes effect seconds later. The job had been
-// refused meanwhile, and its items ran all the same; or it was created twice over the limit.
-TEST_CASE("a job whose creation may still happen is not refused, and does not pass the limit when it happens")
+// Guards against a creation that the store executes seconds after its reply was lost: the job was reported as
+// rejected and ran nevertheless, or was created on top of jobs that had used up the limit.
+TEST_CASE("a job whose creation may still be executed is not rejected, and cannot exceed the limit later")
 {
     fixture f;
     CHECK(f.one.accepted("a"));
@@ -164,7 +164,7 @@
     CHECK(f.one.refused("b"));
 }
 
-TEST_CASE("a lost answer to a creation that took effect is found out")
+TEST_CASE("a creation that took effect is detected after its reply was lost")
 {
     fixture f;
     f.store.faults = { fake_store::fault::reply_lost };
@@ -177,14 +177,13 @@
     CHECK(f.pendingTokens() == 200);
 }
 
-// The price of the limit: one call a job, and another one where two processes create in turn.
-TEST_CASE("accepting a job costs one call while there is room, two if another process was last")
+// Cost of the limit: one call per job, and one more if another process created the previous job.
+TEST_CASE("accepting a job costs one call while there is capacity, two if another process was last")
 {
     fixture f;
     f.one.accepted("a", 100000);
     f.two.accepted("b", 100000);
-    f.one.accepted(
-        "e", 100000); // Their listings are fresh: they have just seen the limit for the first time.
+    f.one.accepted("e", 100000); // The limit is new to both processes, so their listings are fresh.
     f.two.accepted("f", 100000);
     const auto before = f.store.commits;
     const auto listings = f.store.listings;
@@ -195,7 +194,7 @@
     CHECK(f.store.listings == listings);
 }
 
-TEST_CASE("jobs from before there was a limit count")
+TEST_CASE("jobs created before the route had a limit are counted")
 {
     fixture f;
     CHECK(f.one.accepted("a", 0));
--- a/libs/bulk_process/tests/test_open_lookup.cpp
+++ b/libs/bulk_process/tests/test_open_lookup.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Answers later, as a store does.
+/// Replies asynchronously, like a real store.
 class slow_store final : public async_store {
 public:
     slow_store(event_loop& loop, fake_store& store)
@@ -60,7 +60,7 @@
             jobStore.create(
                 { id, "h", 1, { { "i0", "/p", {}, "b", 1 } } }, {}, [](result<bulk_job_store::creation>) {});
     }
-    /// Longer than two calls in a row take.
+    /// Takes longer than two consecutive calls.
     void run()
     {
         for (int i = 0; i < 30; ++i)
@@ -88,9 +88,9 @@
 
 } // namespace
 
-// Story: all processes are killed and come back. Their callers ask for results of 250 jobs twice a second,
-// and each question was a call of the store: 3,700 calls in four seconds. Before: 40 calls here; now 2.
-TEST_CASE("questions about many jobs share one call")
+// Guards against one store call per lookup after all processes restart: callers that poll 250 jobs twice per
+// second caused 3,700 calls in 4 s. The 40 lookups below took 40 calls, and now take 2.
+TEST_CASE("lookups of many jobs share one call")
 {
     fixture f;
     f.lookUp("a");
@@ -106,7 +106,7 @@
     CHECK(f.holders.find("gone") == std::string::npos);
 }
 
-TEST_CASE("a question that comes while a call is under way is answered by the next one")
+TEST_CASE("a lookup is answered by the next call, not by an earlier one")
 {
     fixture f;
     f.lookUp("a");
@@ -120,7 +120,7 @@
     CHECK(f.holders.ends_with("new=vm1;"));
 }
 
-TEST_CASE("a call that fails fails for all who wait for it, and the next one goes out")
+TEST_CASE("a failed call fails all its lookups, and the next call is sent")
 {
     fixture f;
     f.store.away = true;
