--- a/libs/bulk/include/bulk/bulk.h
+++ b/libs/bulk/include/bulk/bulk.h
@@ -12,55 +12,58 @@
 #include <utility>
 #include <vector>
 
-/// Batch jobs whose items are requests for targets: what is stored of them, and the decisions of the process
-/// that holds one. Layer: coordination. No I/O, not thread-safe.
+/// Batch jobs whose items are requests to targets: the stored records of a job, and the state machine of the
+/// process that holds it. Layer: coordination. No I/O, not thread-safe.
 namespace yuccachute {
 
 /// One request of a batch job.
 struct bulk_item {
     std::string id;
     std::string path;
-    std::vector<std::pair<std::string, std::string>> headers; ///< As submitted, by the platform's names.
+    /// Submitted headers, with the names that the platform uses.
+    std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
-    std::uint64_t tokens = 0; ///< Of prompt and answer together, at most.
+    std::uint64_t tokens = 0; ///< Upper bound for prompt and completion together.
 };
 
-/// Written once, when the job is accepted.
+/// Immutable record of a job, written when the job is accepted.
 struct bulk_record {
     std::string id;
-    std::string host; ///< Host of the submission; its items go to routes of that host.
-    std::int64_t acceptedMs = 0; ///< Milliseconds since 1970.
+    std::string host; ///< `Host` header of the submission; the items are routed by it.
+    std::int64_t acceptedMs = 0; ///< Unix time in milliseconds.
     std::vector<bulk_item> items;
-    std::string customer; ///< Empty in a deployment without customers. The job outlives the customer's keys.
+    /// Empty in a deployment without customers. Stored, because a job can outlive its customer's API keys.
+    std::string customer;
 };
 
-/// By which a job is known: the id that its customer gave it, within the customer's own ids. So a job of
-/// another customer is not found under the same id. `id` holds letters, digits, '-', '_' and '.' only.
+/// Returns the internal id of something that is named by a customer, so that equal ids of different customers
+/// do not collide. `id` may contain only letters, digits, '-', '_' and '.'.
 std::string customerScopedId(std::string_view customer, std::string_view id);
 
-/// Tokens of all items of a job.
+/// Returns the sum of the tokens of all items.
 std::uint64_t tokensOf(const bulk_record& record);
 
 std::string encodeRecord(const bulk_record& record);
 result<bulk_record> decodeBulkRecord(std::string_view bytes);
 
-/// The final state of one item.
+/// Final result of one item.
 struct bulk_result {
-    std::uint32_t index = 0; ///< Of the item in its job.
-    bool done = false; ///< Otherwise the item was given up.
-    std::string text; ///< Data of all events, separated by line feeds; empty if given up.
+    std::uint32_t index = 0; ///< Index of the item in its job.
+    bool done = false; ///< False if the item was abandoned.
+    std::string text; ///< Data of all events, separated by line feeds; empty for an abandoned item.
 };
 
-/// Results that are committed in one step. They stand at the positions after those of the groups before.
+/// Results that are committed in one transaction. Result positions continue from the previous groups.
 struct bulk_result_group {
-    std::string token; ///< Of the commit: tells one's own write from another's after a lost answer.
+    /// Unique token of the commit. After a lost reply it shows whether the stored group is one's own.
+    std::string token;
     std::vector<bulk_result> results;
 };
 
 std::string encodeGroup(const bulk_result_group& group);
 result<bulk_result_group> decodeGroup(std::string_view bytes);
 
-/// Who holds a job that is not finished.
+/// Process that holds an unfinished job.
 struct bulk_holder {
     std::string vm;
     std::uint64_t incarnation = 0;
@@ -68,16 +71,17 @@
     bool operator==(const bulk_holder&) const = default;
 };
 
-/// Tokens of a job that count against the limit of its customer on its route.
+/// Tokens of a job that count against its customer's limit on its route.
 struct token_claim {
-    std::string route; ///< Names the customer, too, if the job has one. Empty if the job's route was not
-                       ///< known when it was accepted.
+    /// Account name, which includes the customer if there is one. Empty if the route was unknown when the job
+    /// was accepted.
+    std::string route;
     std::uint64_t tokens = 0;
 
     bool operator==(const token_claim&) const = default;
 };
 
-/// What is stored of an unfinished job beside its record.
+/// Mutable record of an unfinished (open) job; it exists until the job is finished or cancelled.
 struct open_job_record {
     bulk_holder holder;
     token_claim claim;
@@ -86,46 +90,48 @@
 std::string encodeOpenJob(const open_job_record& openJob);
 result<open_job_record> decodeOpenJob(std::string_view bytes);
 
-/// The unfinished jobs of a route, as far as a listing of the store shows them.
+/// Open jobs of one route as seen in a listing of the store.
 struct open_claims {
-    std::int64_t revision = 0; ///< Of the store: jobs that were created later are not among them.
-    std::map<std::string, std::uint64_t> tokens; ///< Of items without a result, by job.
+    std::int64_t revision = 0; ///< Store revision of the listing; jobs created later are missing from it.
+    std::map<std::string, std::uint64_t> tokens; ///< Tokens of the items without a result, by job.
 };
 
-/// The account of a route's limit in the store. Each creation of a job rewrites it on condition that it has
-/// not changed since it was read. So all creations come one after the other, and whoever creates a job has
-/// counted all before it: in its listing of unfinished jobs, or here.
+/// Token account of a route's limit, kept in the store. Every creation of a job rewrites the account under
+/// the condition that it has not changed since it was read. This serializes the creations, so a process that
+/// creates a job has counted all earlier jobs, either in its listing of open jobs or in this account.
 class token_account {
 public:
-    /// Reads the account; `revision` is that of its key, 0 if there is none yet.
+    /// Decodes a stored account. `revision` is the revision of its key, or 0 if there is no account yet.
     static result<token_account> decode(std::string_view bytes, std::int64_t revision);
     std::string encode() const;
 
     std::int64_t revision() const { return m_revision; }
-    /// Whether a listing together with this account shows all jobs.
+    /// Returns whether this account and the listing together include all open jobs.
     bool covers(const open_claims& listed) const { return listed.revision >= m_trimmedRevision; }
-    /// Tokens that wait at most.
+    /// Returns an upper bound for the tokens of unfinished items.
     std::uint64_t pendingTokens(const open_claims& listed) const;
-    /// The account with one more job, to be written on condition of revision().
+    /// Returns the account with one more job, to be written under the condition that revision() is unchanged.
     token_account withJob(std::string_view job, std::uint64_t tokens) const;
 
 private:
     struct recent_job {
         std::string job;
         std::uint64_t tokens = 0;
-        std::int64_t revision = 0; ///< Of its creation; 0 for the latest, which is that of the account.
+        /// Revision of the job's creation. 0 for the newest job, whose revision is that of the account.
+        std::int64_t revision = 0;
     };
 
     std::int64_t m_revision = 0;
-    std::int64_t m_trimmedRevision = 0; ///< Jobs up to this revision are not kept here any more.
+    /// Jobs created at or before this revision have been dropped from the account.
+    std::int64_t m_trimmedRevision = 0;
     std::vector<recent_job> m_recentJobs;
 };
 
-/// How far an item has come that has no result yet.
+/// Progress of an item that has no result yet.
 struct item_progress {
     std::uint32_t index = 0;
     std::uint64_t lastEvent = 0;
-    std::vector<std::string> events; ///< Data of all events so far.
+    std::vector<std::string> events; ///< Data of all events received so far.
 
     bool operator==(const item_progress&) const = default;
 };
@@ -133,75 +139,78 @@
 std::string encodeItemProgress(std::span<const item_progress> items);
 result<std::vector<item_progress>> decodeItemProgress(std::string_view bytes);
 
-/// Limits of a job's route.
+/// Limits from the job's route.
 struct bulk_limits {
-    unsigned maxAttempts = 1; ///< Failures at targets after which an item is given up.
-    steady_time expiry; ///< After that, an item is given up.
+    unsigned maxAttempts = 1; ///< Number of failures after which an item is abandoned.
+    steady_time expiry; ///< Time at which unfinished items are abandoned.
 };
 
-/// How one run of an item ended.
+/// Outcome of one run of an item.
 enum class run_outcome : std::uint8_t {
-    completed, ///< All events have been received.
-    interrupted, ///< It broke off, was revoked, or was refused; it goes on behind its last event.
-    aborted, ///< Broken off by the target, or answered in a way that means nothing; may be repeated.
-    failed, ///< The target failed on it.
-    rejected ///< The target says that it can never be done.
+    completed, ///< All events were received.
+    /// No slot was granted, the slot was revoked, or the target refused the item. It resumes after its last
+    /// event.
+    interrupted,
+    aborted, ///< The request failed, or the response broke off or was invalid. The item can run again.
+    failed, ///< The target reported a failure of the item.
+    rejected ///< The target rejected the item permanently.
 };
 
-/// An item to run.
+/// Item to run next.
 struct bulk_item_start {
     std::uint32_t index = 0;
-    std::optional<std::uint64_t> lastEvent; ///< To go on behind.
+    std::optional<std::uint64_t> lastEvent; ///< Last event received; the run resumes after it.
 };
 
-/// The items of a job that this process holds.
+/// Items of a job that this process holds.
 class bulk_job {
 public:
-    /// Takes a job over with the results that are committed.
+    /// Starts with all items waiting. Committed results are added by addCommitted().
     bulk_job(bulk_record record, bulk_limits limits, steady_time due);
 
     const bulk_record& record() const { return m_record; }
     steady_time due() const { return m_due; }
 
-    /// Adds a committed group; the job's results are listed in the order of these calls.
+    /// Adds a committed group. The calls define the order of the results.
     void addCommitted(const bulk_result_group& group);
-    /// All committed results, by position.
+    /// Returns all committed results by position.
     std::span<const bulk_result> committedResults() const { return m_committedResults; }
     std::size_t committedGroups() const { return m_groups; }
     bool complete() const { return m_committedResults.size() == m_record.items.size(); }
 
-    /// The next item to run, or nothing: the one that has come furthest.
+    /// Takes the waiting item with the most events, and marks it as running. Returns nullopt if none is
+    /// waiting.
     std::optional<bulk_item_start> next();
-    /// Items that wait to be run.
+    /// Number of items waiting to run.
     std::size_t waiting() const { return m_waiting.size(); }
     std::size_t running() const { return m_running; }
-    /// Events that the next item to run has already.
+    /// Number of events that the item returned by the next call of next() has received.
     std::size_t nextItemEvents() const;
 
-    /// How far the items without a result have come.
+    /// Returns the progress of all items without a result.
     std::vector<item_progress> progress() const;
-    /// Events of the items without a result, together.
+    /// Returns the number of events received by items without a result.
     std::size_t bufferedEvents() const;
-    /// Takes over what a former holder has saved: its items go on where they stood. Called before the first
-    /// next().
+    /// Restores progress saved by a previous holder, so that items resume where they stopped. Must be called
+    /// before the first next().
     void restore(std::vector<item_progress> saved);
 
-    /// An event of a running item has arrived. Returns false if it does not follow its predecessor.
+    /// Adds an event to a running item. Returns false if its id does not follow that of the previous event.
     bool addEvent(std::uint32_t index, std::optional<std::uint64_t> id, std::string data);
     void finishRun(std::uint32_t index, run_outcome outcome, steady_time now);
-    /// Gives up what waits, because of its age or because its route is gone.
+    /// Abandons all waiting items, because the job has expired or no route matches it any more.
     void abandonWaiting(steady_time now);
-    /// Gives up what waits if the job has expired.
+    /// Abandons all waiting items if the job has expired.
     void expire(steady_time now);
 
-    /// Results that wait to be committed. `since` is when the oldest one came.
+    /// Number of results not committed yet; uncommittedSince() is the time of the oldest one.
     std::size_t uncommitted() const { return m_uncommitted.size(); }
     steady_time uncommittedSince() const { return m_uncommittedSince; }
-    /// What to commit next: the same until it was committed, because the answer to a commit can be lost and
-    /// the commit be executed later.
+    /// Returns the group to commit next. It stays the same until it is committed: the reply to a commit can
+    /// be lost, and the store may execute that commit later.
     const bulk_result_group& nextGroup(std::string_view token);
     bool completes(const bulk_result_group& group) const;
-    /// Tokens of the items that have no listed result once a group is committed.
+    /// Returns the tokens of the items that have no committed result once the group is committed.
     std::uint64_t tokensRemainingAfter(const bulk_result_group& group) const;
 
 private:
@@ -209,12 +218,12 @@
         std::vector<std::string> events;
         std::optional<std::uint64_t> lastEvent;
         unsigned failures = 0;
-        bool hasResult = false; ///< It has a result, committed or not.
+        bool hasResult = false; ///< Whether the item has a result, committed or not.
         bool running = false;
     };
 
     void finishItem(std::uint32_t index, bool done, steady_time now);
-    /// The waiting item that is nearest to its end.
+    /// Returns the waiting item with the most events.
     std::deque<std::uint32_t>::const_iterator mostAdvancedItem() const;
 
     bulk_record m_record;
@@ -230,11 +239,13 @@
     std::optional<bulk_result_group> m_pendingGroup;
 };
 
-/// After so many cuts in a row without a new event the item is the cause, not the targets: they are not
-/// blamed any more. Each target would be blamed in turn, and all be left alone, live callers included.
+/// Number of consecutive aborted runs without a new event that count against the health of the targets. Later
+/// ones are attributed to the item. Otherwise one bad item would make every target in turn look unhealthy,
+/// and leave none for live requests.
 constexpr unsigned maxAbortsChargedToTarget = 2;
 
-/// How long an item waits after so many cuts in a row: zero while they are blamed on targets.
+/// Returns how long an item waits after this many consecutive aborted runs. Zero as long as they count
+/// against the targets.
 milliseconds retryDelayAfterAborts(unsigned aborts);
 
 } // namespace yuccachute
--- a/libs/bulk/src/bulk_job.cpp
+++ b/libs/bulk/src/bulk_job.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// An item that every target cuts would else run hundreds of times a second until it expires.
+/// Without a delay, an item that every target aborts would run hundreds of times per second until it expires.
 constexpr milliseconds initialRetryDelay { 100 };
 constexpr milliseconds maxRetryDelay { 2000 };
 constexpr unsigned maxRetryDelayDoublings = 5;
 
-/// A group stays below the size of a value in the store, encoded.
+/// Keeps an encoded group below the size limit of a value in the store.
 constexpr std::size_t maxGroupBytes = 400u << 10;
 
 std::string joinWithLineFeeds(const std::vector<std::string>& lines)
@@ -43,13 +43,13 @@
     ++m_groups;
     for (const auto& entry : group.results) {
         if (entry.index >= m_items.size())
-            continue; // Cannot be: groups are written by holders of the same record.
+            continue; // Impossible: all holders write groups for the same record.
         m_items[entry.index].hasResult = true;
         std::erase(m_waiting, entry.index);
         std::erase_if(m_uncommitted, [&](const auto& finished) { return finished.index == entry.index; });
         m_committedResults.push_back(entry);
     }
-    m_pendingGroup.reset(); // Last: it may be what the caller has passed.
+    m_pendingGroup.reset(); // Must come last: `group` may refer to it.
 }
 
 std::deque<std::uint32_t>::const_iterator bulk_job::mostAdvancedItem() const
@@ -85,7 +85,7 @@
 {
     for (auto& one : saved) {
         if (one.index >= m_items.size() || m_items[one.index].hasResult)
-            continue; // Its result was committed after it was saved.
+            continue; // A result was committed after this progress was saved.
         m_items[one.index].lastEvent = one.lastEvent;
         m_items[one.index].events = std::move(one.events);
     }
--- a/libs/bulk/src/bulk_records.cpp
+++ b/libs/bulk/src/bulk_records.cpp
@@ -16,8 +16,8 @@
 
 using nlohmann::json;
 
-/// JSON in its binary form, compressed: bodies are bytes, and each stored byte crosses the network more than
-/// once.
+/// Encodes a document as compressed CBOR. Bodies are binary, and each stored byte crosses the network several
+/// times.
 std::string pack(const json& document)
 {
     const auto bytes = json::to_cbor(document);
@@ -29,12 +29,12 @@
     BOOST_OUTCOME_TRY(auto plain, decompress(bytes));
     const auto document = json::from_cbor(plain, true, false);
     if (document.is_discarded())
-        return notRun(failure_kind::internal, std::string(what) + " in the store is damaged");
+        return notRun(failure_kind::internal, std::string(what) + " in the store is corrupt");
     try {
         return read(document);
     } catch (const json::exception& error) {
         return notRun(
-            failure_kind::internal, std::string(what) + " in the store is damaged: " + error.what());
+            failure_kind::internal, std::string(what) + " in the store is corrupt: " + error.what());
     }
 }
 
@@ -86,7 +86,7 @@
     return items;
 }
 
-/// Customers' names may be long and hold any letter; keys of the store may not.
+/// Customer names can be long and contain any character, keys of the store cannot.
 bool isValidInKeys(std::string_view name)
 {
     constexpr std::size_t maxBytes = 32;
@@ -104,7 +104,7 @@
     if (isValidInKeys(customer))
         return std::string(customer) + ':' + std::string(id);
     char digits[20];
-    // With a second colon, which no name that stands for itself contains.
+    // The second colon cannot occur in a name that is used unhashed, so the two forms never collide.
     std::snprintf(digits, sizeof digits, "%016llx:", static_cast<unsigned long long>(hashText(customer)));
     return digits + (':' + std::string(id));
 }
@@ -127,7 +127,7 @@
 
 result<bulk_record> decodeBulkRecord(std::string_view bytes)
 {
-    return unpack<bulk_record>(bytes, "a job's record", readRecord);
+    return unpack<bulk_record>(bytes, "the job record", readRecord);
 }
 
 std::string encodeGroup(const bulk_result_group& group)
@@ -141,7 +141,7 @@
 
 result<bulk_result_group> decodeGroup(std::string_view bytes)
 {
-    return unpack<bulk_result_group>(bytes, "a group of results", readGroup);
+    return unpack<bulk_result_group>(bytes, "the result group", readGroup);
 }
 
 std::string encodeItemProgress(std::span<const item_progress> items)
@@ -159,7 +159,7 @@
 
 result<std::vector<item_progress>> decodeItemProgress(std::string_view bytes)
 {
-    return unpack<std::vector<item_progress>>(bytes, "the progress of a job", readProgress);
+    return unpack<std::vector<item_progress>>(bytes, "the job progress", readProgress);
 }
 
 std::string encodeOpenJob(const open_job_record& openJob)
@@ -182,7 +182,7 @@
         return openJob;
     } catch (const json::exception& error) {
         return notRun(failure_kind::internal,
-            std::string("the holder of a job in the store is damaged: ") + error.what());
+            std::string("the open-job record in the store is corrupt: ") + error.what());
     }
 }
 
--- a/libs/bulk/src/token_account.cpp
+++ b/libs/bulk/src/token_account.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-/// Jobs that an account names at most: more than are created between two listings of a process, two seconds
-/// apart. Whoever listed earlier lists anew.
+/// Maximum number of jobs in an account. It exceeds the number of jobs created between two periodic listings
+/// of a process, which are 2 s apart. A process with an older listing must list again.
 constexpr std::size_t maxRecentJobs = 64;
 
 } // namespace
@@ -29,8 +29,8 @@
             account.m_recentJobs.push_back({ entry.at(0).get<std::string>(), entry.at(1).get<std::uint64_t>(),
                 entry.at(2).get<std::int64_t>() });
     } catch (const json::exception& error) {
-        return notRun(failure_kind::internal,
-            std::string("a route's account of waiting tokens is damaged: ") + error.what());
+        return notRun(
+            failure_kind::internal, std::string("the token account of a route is corrupt: ") + error.what());
     }
     if (!account.m_recentJobs.empty())
         account.m_recentJobs.back().revision = revision;
@@ -51,7 +51,7 @@
     for (const auto& [job, left] : listed.tokens)
         tokens += left;
     for (const auto& entry : m_recentJobs) {
-        // What the listing should show and does not show is finished.
+        // A job that the listing should contain and does not is finished.
         if (entry.revision > listed.revision && !listed.tokens.contains(entry.job))
             tokens += entry.tokens;
     }
--- a/libs/bulk/tests/test_bulk.cpp
+++ b/libs/bulk/tests/test_bulk.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("records and groups survive the store, damaged ones are told")
+TEST_CASE("records and groups can be encoded and decoded, corrupt ones are detected")
 {
     const auto read = decodeBulkRecord(encodeRecord(record(2)));
     REQUIRE(read);
@@ -51,7 +51,7 @@
     CHECK(!decodeOpenJob("[]"));
 }
 
-TEST_CASE("an item goes on behind its last event and is listed with the whole text")
+TEST_CASE("an item resumes after its last event and is committed with its whole text")
 {
     auto held = job(1);
     REQUIRE(held.next());
@@ -74,7 +74,7 @@
     CHECK(held.committedResults()[0].text == "a\nb\nc");
 }
 
-TEST_CASE("only failures and impossible items count towards giving up")
+TEST_CASE("only failures and rejections lead to an item being abandoned")
 {
     auto held = job(2, 2);
     for (int i = 0; i < 20; ++i) {
@@ -92,9 +92,9 @@
     CHECK(!held.next());
 }
 
-// Story: the answer to a commit of results is lost; before the commit is tried again another item ends. Had
-// the second try more results than the first, the first one, executed late, would list less than the holder
-// knows, and the position of an item would change.
+// Guards against a retried commit that carries more results than the first attempt. If the reply to the first
+// attempt is lost and the store executes it late, fewer results are stored than the holder assumes, and the
+// positions of later results shift.
 TEST_CASE("a commit stays the same until its outcome is known")
 {
     auto held = job(3);
@@ -108,9 +108,9 @@
     CHECK(held.nextGroup("b").results.size() == 1);
 }
 
-// Story: two processes run a job for a moment; the other one's results are committed first. An item that was
-// listed by it must not be listed a second time.
-TEST_CASE("results of another holder replace own ones that are not committed")
+// Two processes can briefly run the same job. If the other one commits first, its results must not be
+// committed a second time.
+TEST_CASE("results committed by another holder replace own uncommitted ones")
 {
     auto held = job(2);
     held.next();
@@ -122,12 +122,12 @@
     held.addCommitted(held.nextGroup("mine"));
     CHECK(held.complete());
     CHECK(held.committedResults()[0].text == "theirs");
-    // A run that ends after its item was listed changes nothing.
+    // A run that finishes after its item was committed has no effect.
     held.finishRun(0, run_outcome::completed, at(3));
     CHECK(held.uncommitted() == 0);
 }
 
-TEST_CASE("what has expired is given up, and no earlier")
+TEST_CASE("waiting items are abandoned once the job has expired, and not before")
 {
     auto held = job(2);
     held.next();
@@ -140,9 +140,9 @@
     CHECK(held.uncommitted() == 2);
 }
 
-// Story: an item that every target broke off was tried on each of them again and again without a pause; each
-// was blamed for it, until none was left for live callers.
-TEST_CASE("an item that is cut again and again waits, and its targets are not blamed")
+// Guards against an item that every target aborts: without a delay it ran at each of them in a tight loop and
+// made all targets look unhealthy to live requests.
+TEST_CASE("an item that is aborted repeatedly is delayed and no longer counts against its targets")
 {
     CHECK(retryDelayAfterAborts(0) == milliseconds { 0 });
     CHECK(retryDelayAfterAborts(maxAbortsChargedToTarget - 1) == milliseconds { 0 });
@@ -156,13 +156,13 @@
     CHECK(held.waiting() == 1);
 }
 
-TEST_CASE("an account counts what a listing cannot show, and nothing twice")
+TEST_CASE("an account counts jobs that are missing from the listing, and none twice")
 {
     open_claims listed { 100, { { "a", 50 }, { "b", 70 } } };
     auto account = token_account::decode("", 0).value();
     CHECK(account.covers(listed));
     CHECK(account.pendingTokens(listed) == 120);
-    // Written at 90: the listing at 100 would show it, so it is finished.
+    // The job was created at revision 90 and is missing from the listing at 100, so it is finished.
     account = token_account::decode(account.withJob("gone", 1000).encode(), 90).value();
     CHECK(account.pendingTokens(listed) == 120);
     account = token_account::decode(account.withJob("b", 80).encode(), 101).value();
@@ -175,7 +175,7 @@
     CHECK(!token_account::decode("\xff", 5));
 }
 
-TEST_CASE("an account names no more jobs than a listing may be behind by")
+TEST_CASE("an account keeps a bounded number of jobs and detects listings that are too old")
 {
     auto account = token_account::decode("", 0).value();
     for (int i = 1; i <= 200; ++i)
@@ -186,9 +186,9 @@
     CHECK(account.pendingTokens({ 150, {} }) == 50);
 }
 
-// Story: two customers submit jobs under the same id. The second is told that its job is accepted, though it
-// is the first one's that is kept, and reads results that are not its own.
-TEST_CASE("the same id of two customers names two jobs")
+// Guards against two customers' jobs under the same id being confused: the second submission was confirmed,
+// but only the first job existed, and its results went to both.
+TEST_CASE("equal ids of two customers refer to different jobs")
 {
     const std::string odd = "firm: of / many words";
     const std::vector<std::string> customers { "", "firm", "firm-2", odd, odd + "2", std::string(300, 'x') };
@@ -203,9 +203,9 @@
     }
 }
 
-// Story: a job's holder dies, and its successor reads a record without the customer: its items reach targets
-// in nobody's name. Records that were written before jobs had customers are still to be read.
-TEST_CASE("a job keeps its customer in the store")
+// Guards against a takeover that loses the customer, so that items reach targets without its name. Records
+// written before jobs had customers must remain readable.
+TEST_CASE("the customer is stored with a job")
 {
     bulk_record record { "firm:7c41", "h", 1, { { "e1", "/p", {}, "", 1 } }, "firm" };
     CHECK(decodeBulkRecord(encodeRecord(record)).value().customer == "firm");
