--- a/libs/bulk_process/include/bulk_process/bulk_process.h
+++ b/libs/bulk_process/include/bulk_process/bulk_process.h
@@ -138,8 +138,8 @@
     /// Reads the holder of a job and the revision of that entry. Returns nullopt if the job is finished,
     /// cancelled or does not exist.
     void readOpenJob(const std::string& id, callback<std::optional<open_job>> done);
-    /// Becomes the holder of a job whose previous holder is gone. Returns the new revision of open/ID, or 0
-    /// if another process was faster.
+    /// Becomes the holder of a job whose previous holder is no longer registered. Returns the new revision of
+    /// open/ID, or 0 if another process was faster.
     void takeOver(const open_job& job, callback<std::int64_t> done);
     /// A group of results to be committed.
     struct group_commit {
--- a/libs/bulk_process/src/bulk_process.cpp
+++ b/libs/bulk_process/src/bulk_process.cpp
@@ -10,7 +10,7 @@
 
 constexpr milliseconds tickInterval { 50 };
 constexpr registration::timing registrationTimes { milliseconds { 2000 }, milliseconds { 400 } };
-constexpr milliseconds stopPoll { 20 };
+constexpr milliseconds stopPollInterval { 20 };
 constexpr milliseconds stopMargin { 1000 };
 constexpr std::size_t maxIdleConnectionsPerTarget = 24;
 
@@ -31,7 +31,7 @@
           listeners())
     , m_registration(m_loop, m_store, m_self, registrationTimes)
     , m_broker(m_loop, m_rpc, { m_self.vm, m_self.zone, "" })
-    , m_items { m_loop, m_broker, m_client, adapter.callers, m_suspects.guard }
+    , m_itemRunServices { m_loop, m_broker, m_client, adapter.callers, m_suspects.guard }
     , m_jobStore(m_loop, m_store, { m_self.vm, m_self.incarnation }, settings.storeValueBytes)
     , m_lookup(m_loop, m_jobStore)
     , m_admission(m_store, m_jobStore)
@@ -107,7 +107,7 @@
     }
     commitDue();
     const bool unchecked = m_reconciledGeneration != m_registration.generation();
-    if (time >= m_nextScan || (unchecked && time - m_lastScan >= commitRetry))
+    if (time >= m_nextScan || (unchecked && time - m_lastScan >= commitRetryDelay))
         scan();
     if (time >= m_nextProgressSave)
         saveProgress();
@@ -145,17 +145,17 @@
     const bool committing
         = std::any_of(m_jobs.begin(), m_jobs.end(), [](const auto& job) { return job.second.committing; });
     if (committing && now() - m_stopAt < m_settings.grace - stopMargin)
-        return m_stopTimer.arm(stopPoll, [this] { awaitCommits(); });
+        return m_stopTimer.arm(stopPollInterval, [this] { awaitCommits(); });
     m_retirement.ownJobsReleased();
     if (m_stopping)
-        m_stopTimer.arm(stopPoll, [this] { finishStop(); });
+        m_stopTimer.arm(stopPollInterval, [this] { finishStop(); });
 }
 
 void bulk_process::finishStop()
 {
     logEvent(log_level::info, "stopped", {});
     m_registration.end();
-    m_stopTimer.arm(stopPoll, [this] { m_loop.stop(); });
+    m_stopTimer.arm(stopPollInterval, [this] { m_loop.stop(); });
 }
 
 void bulk_process::handleSignal(int signal)
--- a/libs/bulk_process/src/job_commits.cpp
+++ b/libs/bulk_process/src/job_commits.cpp
@@ -116,7 +116,7 @@
     if (!outcome) {
         logEvent(log_level::warning, "results could not be committed; retrying",
             { { "job", id }, { "message", outcome.error().message } });
-        held.nextCommitAt = now() + commitRetry;
+        held.nextCommitAt = now() + commitRetryDelay;
         return;
     }
     if (outcome.value() == bulk_job_store::commit_result::lost) {
--- a/libs/bulk_process/src/job_runs.cpp
+++ b/libs/bulk_process/src/job_runs.cpp
@@ -214,7 +214,7 @@
             updateMeanDurations(*statistics);
         runFinished(id, index, outcome, reason);
     };
-    held.runs[index] = runItem(m_items, std::move(request), std::move(events));
+    held.runs[index] = runItem(m_itemRunServices, std::move(request), std::move(events));
     return true;
 }
 
--- a/libs/bulk_process/src/job_takeover.cpp
+++ b/libs/bulk_process/src/job_takeover.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Interval of scans of the open jobs. They find jobs whose holder is gone, and jobs cancelled through
-/// another process, whose runs must stop within 3 s.
+/// Interval of scans of the open jobs. They find jobs whose holder is no longer registered, and jobs
+/// cancelled through another process, whose runs must stop within 3 s.
 constexpr milliseconds scanInterval { 2000 };
 
 } // namespace
@@ -107,7 +107,7 @@
         if (!stored) {
             logEvent(log_level::warning, "job could not be loaded; retrying",
                 { { "job", id }, { "message", stored.error().message } });
-            m_nextScan = std::min(m_nextScan, now() + commitRetry);
+            m_nextScan = std::min(m_nextScan, now() + commitRetryDelay);
             return;
         }
         const bool mine = stored.value().holder == bulk_holder { m_self.vm, m_self.incarnation };
--- a/libs/bulk_process/src/process.h
+++ b/libs/bulk_process/src/process.h
@@ -16,7 +16,7 @@
 /// (job_takeover).
 namespace yuccachute {
 
-constexpr milliseconds commitRetry { 200 };
+constexpr milliseconds commitRetryDelay { 200 };
 constexpr milliseconds retryAfter { 500 };
 /// Initial estimates, used until runs have been measured: a run has a few hundred events, 20 ms apart.
 constexpr double initialMeanRunMs = 4000;
@@ -39,7 +39,7 @@
     std::map<std::uint32_t, unsigned> consecutiveAborts;
     /// Delays of items whose runs were aborted, or that are suspected of terminating targets.
     std::map<std::uint32_t, loop_timer> requeueTimers;
-    /// Items suspected of terminating targets that have waited for their delay, and may run next.
+    /// Items suspected of terminating targets whose delay has passed; they may run next.
     std::set<std::uint32_t> suspectDelayPassed;
     std::vector<waiting_reader> readers;
     steady_time nextCommitAt;
@@ -147,7 +147,7 @@
     // --- Takeover
     void scan();
     void reconcile(const bulk_job_store::open_jobs& open);
-    /// Returns whether the job's holder is gone and this process is the one to take the job over.
+    /// Returns whether the job's holder is no longer registered, and this process is to take the job over.
     bool shouldTakeOver(const bulk_job_store::open_job& job) const;
     void takeOver(const bulk_job_store::open_job& job);
     void loadOwnJob(const bulk_job_store::open_job& job);
@@ -178,7 +178,7 @@
     fleet_watch m_fleet;
     registration m_registration;
     slot_broker m_broker;
-    item_run_services m_items;
+    item_run_services m_itemRunServices;
     bulk_job_store m_jobStore;
     open_lookup m_lookup;
     job_admission m_admission;
--- a/libs/bulk_process/src/retirement.cpp
+++ b/libs/bulk_process/src/retirement.cpp
@@ -67,7 +67,7 @@
     store_transaction reporting;
     reporting.writes.push_back(m_protocol.retirementReport(vm, done));
     m_store.commit(reporting, [this, vm, revision = order.revision](result<commit_outcome> outcome) {
-        logEvent(outcome ? log_level::info : log_level::warning, "retirement report",
+        logEvent(outcome ? log_level::info : log_level::warning, "retirement report sent",
             { { "vm_ordered", vm }, { "message", outcome ? std::string_view() : outcome.error().message } });
         const auto found = m_orders.find(vm);
         if (outcome || found == m_orders.end() || found->second.revision != revision)
