--- a/libs/bulk/tests/test_bulk.cpp
+++ b/libs/bulk/tests/test_bulk.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("records and groups survive the store, damaged ones are told")
+TEST_CASE("records and groups can be encoded and decoded, corrupt ones are detected")
 {
     const auto read = decodeBulkRecord(encodeRecord(record(2)));
     REQUIRE(read);
@@ -42,92 +42,92 @@
     REQUIRE(group);
     CHECK(group.value().results[0].text == "a\nb");
     CHECK(!group.value().results[1].done);
-    const auto opening = decodeOpening(encodeOpening({ { "v", 7 }, { "r", 940 } }));
-    CHECK(opening.value().holder == bulk_holder { "v", 7 });
-    CHECK(opening.value().claim == token_claim { "r", 940 });
-    CHECK(decodeOpening(encodeOpening({ { "v", 7 }, {} })).value().claim == token_claim {});
+    const auto openJob = decodeOpenJob(encodeOpenJob({ { "v", 7 }, { "r", 940 } }));
+    CHECK(openJob.value().holder == bulk_holder { "v", 7 });
+    CHECK(openJob.value().claim == token_claim { "r", 940 });
+    CHECK(decodeOpenJob(encodeOpenJob({ { "v", 7 }, {} })).value().claim == token_claim {});
     CHECK(!decodeBulkRecord("nonsense"));
     CHECK(!decodeGroup(encodeRecord(record(1))));
-    CHECK(!decodeOpening("[]"));
+    CHECK(!decodeOpenJob("[]"));
 }
 
-TEST_CASE("an item goes on behind its last event and is listed with the whole text")
+TEST_CASE("an item resumes after its last event and is committed with its whole text")
 {
     auto held = job(1);
     REQUIRE(held.next());
-    CHECK(held.event(0, 1, "a"));
-    CHECK(held.event(0, 2, "b"));
-    CHECK(!held.event(0, 4, "d"));
-    held.ended(0, run_end::broken, at(1));
+    CHECK(held.addEvent(0, 1, "a"));
+    CHECK(held.addEvent(0, 2, "b"));
+    CHECK(!held.addEvent(0, 4, "d"));
+    held.finishRun(0, run_outcome::interrupted, at(1));
     const auto again = held.next();
     REQUIRE(again);
     CHECK(again->lastEvent == 2);
-    CHECK(held.event(0, 3, "c"));
-    held.ended(0, run_end::whole, at(2));
+    CHECK(held.addEvent(0, 3, "c"));
+    held.finishRun(0, run_outcome::completed, at(2));
     CHECK(held.uncommitted() == 1);
     CHECK(held.uncommittedSince() == at(2));
     const auto group = held.nextGroup("t");
     CHECK(held.completes(group));
-    CHECK(held.listed().empty());
-    held.committed(group);
+    CHECK(held.committedResults().empty());
+    held.addCommitted(group);
     CHECK(held.complete());
-    CHECK(held.listed()[0].text == "a\nb\nc");
+    CHECK(held.committedResults()[0].text == "a\nb\nc");
 }
 
-TEST_CASE("only failures and impossible items count towards giving up")
+TEST_CASE("only failures and rejections lead to an item being abandoned")
 {
     auto held = job(2, 2);
     for (int i = 0; i < 20; ++i) {
         REQUIRE(held.next());
-        held.ended(i % 2 == 0 ? 0u : 1u, run_end::broken, at(i));
+        held.finishRun(i % 2 == 0 ? 0u : 1u, run_outcome::interrupted, at(i));
     }
     CHECK(held.uncommitted() == 0);
     const auto first = held.next()->index;
-    held.ended(first, run_end::failed, at(30));
+    held.finishRun(first, run_outcome::failed, at(30));
     CHECK(held.uncommitted() == 0);
-    held.ended(held.next()->index, run_end::impossible, at(31));
+    held.finishRun(held.next()->index, run_outcome::rejected, at(31));
     CHECK(held.uncommitted() == 1);
-    held.ended(held.next()->index, run_end::failed, at(32));
+    held.finishRun(held.next()->index, run_outcome::failed, at(32));
     CHECK(held.uncommitted() == 2);
     CHECK(!held.next());
 }
 
-// Story: the answer to a commit of results is lost; before the commit is tried again another item ends. Had
-// the second try more results than the first, the first one, executed late, would list less than the holder
-// knows, and the position of an item would change.
+// Guards against a retried commit that carries more results than the first attempt. If the reply to the first
+// attempt is lost and the store executes it late, fewer results are stored than the holder assumes, and the
+// positions of later results shift.
 TEST_CASE("a commit stays the same until its outcome is known")
 {
     auto held = job(3);
-    held.ended(held.next()->index, run_end::whole, at(1));
+    held.finishRun(held.next()->index, run_outcome::completed, at(1));
     const auto first = held.nextGroup("a");
-    held.ended(held.next()->index, run_end::whole, at(2));
+    held.finishRun(held.next()->index, run_outcome::completed, at(2));
     CHECK(held.nextGroup("b").token == "a");
     CHECK(held.nextGroup("b").results.size() == 1);
-    held.committed(first);
+    held.addCommitted(first);
     CHECK(held.nextGroup("b").token == "b");
     CHECK(held.nextGroup("b").results.size() == 1);
 }
 
-// Story: two processes run a job for a moment; the other one's results are committed first. An item that was
-// listed by it must not be listed a second time.
-TEST_CASE("results of another holder replace own ones that are not committed")
+// Two processes can briefly run the same job. If the other one commits first, its results must not be
+// committed a second time.
+TEST_CASE("results committed by another holder replace own uncommitted ones")
 {
     auto held = job(2);
     held.next();
     held.next();
-    held.ended(0, run_end::whole, at(1));
-    held.committed({ "other", { { 0, true, "theirs" } } });
+    held.finishRun(0, run_outcome::completed, at(1));
+    held.addCommitted({ "other", { { 0, true, "theirs" } } });
     CHECK(held.uncommitted() == 0);
-    held.ended(1, run_end::whole, at(2));
-    held.committed(held.nextGroup("mine"));
+    held.finishRun(1, run_outcome::completed, at(2));
+    held.addCommitted(held.nextGroup("mine"));
     CHECK(held.complete());
-    CHECK(held.listed()[0].text == "theirs");
-    // A run that ends after its item was listed changes nothing.
-    held.ended(0, run_end::whole, at(3));
+    CHECK(held.committedResults()[0].text == "theirs");
+    // A run that finishes after its item was committed has no effect.
+    held.finishRun(0, run_outcome::completed, at(3));
     CHECK(held.uncommitted() == 0);
 }
 
-TEST_CASE("what has expired is given up, and no earlier")
+TEST_CASE("waiting items are abandoned once the job has expired, and not before")
 {
     auto held = job(2);
     held.next();
@@ -135,76 +135,77 @@
     CHECK(held.uncommitted() == 0);
     held.expire(at(60000));
     CHECK(held.uncommitted() == 1);
-    held.ended(0, run_end::broken, at(60001));
+    held.finishRun(0, run_outcome::interrupted, at(60001));
     held.expire(at(60002));
     CHECK(held.uncommitted() == 2);
 }
 
-// Story: an item that every target broke off was tried on each of them again and again without a pause; each
-// was blamed for it, until none was left for live callers.
-TEST_CASE("an item that is cut again and again waits, and its targets are not blamed")
+// Guards against an item that every target aborts: without a delay it ran at each of them in a tight loop and
+// made all targets look unhealthy to live requests.
+TEST_CASE("an item that is aborted repeatedly is delayed and no longer counts against its targets")
 {
-    CHECK(pauseAfterCuts(0) == milliseconds { 0 });
-    CHECK(pauseAfterCuts(cutsBlamedOnTargets - 1) == milliseconds { 0 });
-    CHECK(pauseAfterCuts(cutsBlamedOnTargets) >= milliseconds { 50 });
-    CHECK(pauseAfterCuts(cutsBlamedOnTargets + 3) > pauseAfterCuts(cutsBlamedOnTargets));
-    CHECK(pauseAfterCuts(1000) == milliseconds { 2000 });
+    CHECK(retryDelayAfterAborts(0) == milliseconds { 0 });
+    CHECK(retryDelayAfterAborts(maxAbortsChargedToTarget - 1) == milliseconds { 0 });
+    CHECK(retryDelayAfterAborts(maxAbortsChargedToTarget) >= milliseconds { 50 });
+    CHECK(retryDelayAfterAborts(maxAbortsChargedToTarget + 3)
+        > retryDelayAfterAborts(maxAbortsChargedToTarget));
+    CHECK(retryDelayAfterAborts(1000) == milliseconds { 2000 });
     auto held = job(1);
     held.next();
-    held.ended(0, run_end::aborted, at(1));
+    held.finishRun(0, run_outcome::aborted, at(1));
     CHECK(held.waiting() == 1);
 }
 
-TEST_CASE("an account counts what a listing cannot show, and nothing twice")
+TEST_CASE("an account counts jobs that are missing from the listing, and none twice")
 {
     open_claims listed { 100, { { "a", 50 }, { "b", 70 } } };
     auto account = token_account::decode("", 0).value();
     CHECK(account.covers(listed));
-    CHECK(account.waiting(listed) == 120);
-    // Written at 90: the listing at 100 would show it, so it is finished.
-    account = token_account::decode(account.with("gone", 1000).encode(), 90).value();
-    CHECK(account.waiting(listed) == 120);
-    account = token_account::decode(account.with("b", 80).encode(), 101).value();
-    account = token_account::decode(account.with("c", 200).encode(), 102).value();
+    CHECK(account.pendingTokens(listed) == 120);
+    // The job was created at revision 90 and is missing from the listing at 100, so it is finished.
+    account = token_account::decode(account.withJob("gone", 1000).encode(), 90).value();
+    CHECK(account.pendingTokens(listed) == 120);
+    account = token_account::decode(account.withJob("b", 80).encode(), 101).value();
+    account = token_account::decode(account.withJob("c", 200).encode(), 102).value();
     CHECK(account.revision() == 102);
-    CHECK(account.waiting(listed) == 320);
+    CHECK(account.pendingTokens(listed) == 320);
     listed = { 102, { { "c", 150 } } };
-    CHECK(account.waiting(listed) == 150);
+    CHECK(account.pendingTokens(listed) == 150);
     CHECK(!token_account::decode("[]", 5));
     CHECK(!token_account::decode("\xff", 5));
 }
 
-TEST_CASE("an account names no more jobs than a listing may be behind by")
+TEST_CASE("an account keeps a bounded number of jobs and detects listings that are too old")
 {
     auto account = token_account::decode("", 0).value();
     for (int i = 1; i <= 200; ++i)
-        account = token_account::decode(account.with("job" + std::to_string(i), 1).encode(), i).value();
+        account = token_account::decode(account.withJob("job" + std::to_string(i), 1).encode(), i).value();
     CHECK(account.encode().size() < 4000);
     CHECK(!account.covers({ 100, {} }));
     CHECK(account.covers({ 150, {} }));
-    CHECK(account.waiting({ 150, {} }) == 50);
+    CHECK(account.pendingTokens({ 150, {} }) == 50);
 }
 
-// Story: two customers submit jobs under the same id. The second is told that its job is accepted, though it
-// is the first one's that is kept, and reads results that are not its own.
-TEST_CASE("the same id of two customers names two jobs")
+// Guards against two customers' jobs under the same id being confused: the second submission was confirmed,
+// but only the first job existed, and its results went to both.
+TEST_CASE("equal ids of two customers refer to different jobs")
 {
     const std::string odd = "firm: of / many words";
     const std::vector<std::string> customers { "", "firm", "firm-2", odd, odd + "2", std::string(300, 'x') };
     std::set<std::string> ids;
     for (const auto& customer : customers)
-        ids.insert(jobIdOf(customer, "7c41"));
+        ids.insert(customerScopedId(customer, "7c41"));
     CHECK(ids.size() == customers.size());
-    CHECK(jobIdOf("", "7c41") == "7c41");
+    CHECK(customerScopedId("", "7c41") == "7c41");
     for (const auto& id : ids) {
         CHECK(id.find('/') == std::string::npos);
         CHECK(id.size() < 60);
     }
 }
 
-// Story: a job's holder dies, and its successor reads a record without the customer: its items reach targets
-// in nobody's name. Records that were written before jobs had customers are still to be read.
-TEST_CASE("a job keeps its customer in the store")
+// Guards against a takeover that loses the customer, so that items reach targets without its name. Records
+// written before jobs had customers must remain readable.
+TEST_CASE("the customer is stored with a job")
 {
     bulk_record record { "firm:7c41", "h", 1, { { "e1", "/p", {}, "", 1 } }, "firm" };
     CHECK(decodeBulkRecord(encodeRecord(record)).value().customer == "firm");
--- a/libs/bulk_process/src/open_lookup.h
+++ b/libs/bulk_process/src/open_lookup.h
@@ -8,33 +8,33 @@
 
 namespace yuccachute {
 
-/// Tells who holds a job as the store knows it. On the loop's thread.
+/// Looks up the holders of jobs in the store. Not thread-safe; runs on the event loop's thread.
 ///
-/// While a process cannot be sure of what it holds, because its registration was not confirmed for a second
-/// or because it has just started, each question of a caller about a job is one for the store. Callers ask
-/// twice a second for each job: 250 jobs were 500 calls a second, as long as the doubt lasted. So questions
-/// that come close together share one listing of all unfinished jobs.
+/// A process that has just started, or whose registration was not confirmed for a second, cannot answer
+/// callers from memory and must ask the store. Callers poll each job twice per second, so 250 jobs would
+/// cause 500 store calls per second. Lookups that arrive close together therefore share one listing of all
+/// open jobs.
 class open_lookup {
 public:
-    using callback = job_keeper::callback<std::optional<job_keeper::open_job>>;
+    using callback = bulk_job_store::callback<std::optional<bulk_job_store::open_job>>;
 
-    open_lookup(event_loop& loop, job_keeper& keeper);
+    open_lookup(event_loop& loop, bulk_job_store& jobStore);
 
-    /// The answer is the store's of a moment after the question; nothing if the job is finished, ended or not
-    /// there.
-    void ask(const std::string& jobId, callback done);
+    /// Calls `done` with the state in the store at some time after this call, or with nullopt if the job is
+    /// finished, cancelled or does not exist.
+    void lookUp(const std::string& jobId, callback done);
 
 private:
-    using questions = std::multimap<std::string, callback>;
+    using pending_lookups = std::multimap<std::string, callback>;
 
     void schedule();
     void send();
-    void answer(const questions& asked, const result<job_keeper::open_jobs>& open);
-    void ended();
+    void deliver(const pending_lookups& sent, const result<bulk_job_store::open_jobs>& open);
+    void callFinished();
 
-    job_keeper& m_keeper;
+    bulk_job_store& m_jobStore;
     loop_timer m_timer;
-    questions m_waiting;
+    pending_lookups m_pending;
     steady_time m_nextCall;
     bool m_calling = false;
 };
--- a/libs/bulk_process/tests/test_job_keeper.cpp
+++ b/libs/bulk_process/tests/test_bulk_job_store.cpp
@@ -13,7 +13,7 @@
     return { std::move(id), "h", 1, { { "i0", "/p", {}, "b", 1 }, { "i1", "/p", {}, "b", 1 } } };
 }
 
-/// Smaller than the platform's, to cut small records.
+/// Smaller than the platform's limit, so that small records are split.
 constexpr std::size_t valueBytes = 2000;
 
 bulk_record largeRecord(std::string id, std::size_t bodyBytes)
@@ -33,48 +33,48 @@
     {
         return [&slot](result<T> outcome) { slot.emplace(std::move(outcome)); };
     }
-    result<job_keeper::creation> create(const std::string& id)
+    result<bulk_job_store::creation> create(const std::string& id)
     {
-        std::optional<result<job_keeper::creation>> outcome;
-        keeper.create(record(id), {}, into(outcome));
+        std::optional<result<bulk_job_store::creation>> outcome;
+        jobStore.create(record(id), {}, into(outcome));
         return *outcome;
     }
-    result<job_keeper::stored_job> load(const std::string& id)
+    result<bulk_job_store::stored_job> load(const std::string& id)
     {
-        std::optional<result<job_keeper::stored_job>> outcome;
-        keeper.load(id, into(outcome));
+        std::optional<result<bulk_job_store::stored_job>> outcome;
+        jobStore.load(id, into(outcome));
         return *outcome;
     }
-    result<job_keeper::commit_result> commit(job_keeper& by, std::size_t number,
+    result<bulk_job_store::commit_result> commit(bulk_job_store& by, std::size_t number,
         const bulk_result_group& group, std::int64_t revision, bool completes)
     {
-        std::optional<result<job_keeper::commit_result>> outcome;
+        std::optional<result<bulk_job_store::commit_result>> outcome;
         by.commit("a", { number, group, revision, completes, std::nullopt }, into(outcome));
         return *outcome;
     }
     result<bool> end(const std::string& id)
     {
         std::optional<result<bool>> outcome;
-        keeper.end(id, into(outcome));
+        jobStore.end(id, into(outcome));
         return *outcome;
     }
-    job_keeper::open_jobs open()
+    bulk_job_store::open_jobs open()
     {
-        std::optional<result<job_keeper::open_jobs>> outcome;
-        keeper.listOpen(into(outcome));
+        std::optional<result<bulk_job_store::open_jobs>> outcome;
+        jobStore.listOpen(into(outcome));
         return outcome->value();
     }
-    std::int64_t take(job_keeper& by, const job_keeper::open_job& job)
+    std::int64_t takeOver(bulk_job_store& by, const bulk_job_store::open_job& job)
     {
         std::optional<result<std::int64_t>> outcome;
-        by.take(job, into(outcome));
+        by.takeOver(job, into(outcome));
         return outcome->value();
     }
 
     event_loop loop;
     fake_store store;
-    job_keeper keeper { loop, store, { "vm1", 1 }, valueBytes };
-    job_keeper other { loop, store, { "vm2", 2 }, valueBytes };
+    bulk_job_store jobStore { loop, store, { "vm1", 1 }, valueBytes };
+    bulk_job_store other { loop, store, { "vm2", 2 }, valueBytes };
 };
 
 const bulk_result_group first { "t1", { { 0, true, "x" } } };
@@ -82,7 +82,7 @@
 
 } // namespace
 
-TEST_CASE("a job is created once, however often it is submitted")
+TEST_CASE("a job that is submitted repeatedly is created once")
 {
     fixture f;
     CHECK(f.create("a").value().openRevision == 11);
@@ -91,108 +91,112 @@
     REQUIRE(stored);
     CHECK(stored.value().holder == bulk_holder { "vm1", 1 });
     CHECK(stored.value().openRevision == 11);
-    CHECK(!stored.value().ended);
+    CHECK(!stored.value().cancelled);
     CHECK(f.load("b").error().kind == failure_kind::not_found);
 }
 
-// Story: the store executes a submission, and its answer is lost. The caller is refused, though the job runs.
-TEST_CASE("a creation whose answer was lost is found, and never said not to exist")
+// Guards against a submission reported as failed although the job runs: the store created the job, and its
+// reply was lost.
+TEST_CASE("a creation whose reply was lost is found, and never reported as not run")
 {
     fixture f;
-    f.store.faults = { fake_store::fault::lost_after };
+    f.store.faults = { fake_store::fault::reply_lost };
     CHECK(f.create("a").value().openRevision == 0);
     CHECK(f.load("a").value().holder == bulk_holder { "vm1", 1 });
 
     f.store.faults = { fake_store::fault::refused };
     CHECK(f.create("b").error().ran == verdict::not_run);
     f.store.faults
-        = { fake_store::fault::executed_later, fake_store::fault::refused, fake_store::fault::refused };
+        = { fake_store::fault::executed_late, fake_store::fault::refused, fake_store::fault::refused };
     CHECK(f.create("c").error().ran == verdict::may_have_run);
-    f.store.executeLate();
+    f.store.executeDelayed();
     CHECK(f.create("c").value().openRevision == 0);
 }
 
-TEST_CASE("results are committed in order, and the last ones finish the job")
+TEST_CASE("results are committed in order, and the last group finishes the job")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    CHECK(f.commit(f.keeper, 0, first, revision, false).value() == job_keeper::commit_result::committed);
+    CHECK(
+        f.commit(f.jobStore, 0, first, revision, false).value() == bulk_job_store::commit_result::committed);
     CHECK(f.open().jobs.size() == 1);
-    CHECK(f.commit(f.keeper, 1, second, revision, true).value() == job_keeper::commit_result::committed);
+    CHECK(
+        f.commit(f.jobStore, 1, second, revision, true).value() == bulk_job_store::commit_result::committed);
     CHECK(f.open().jobs.empty());
     const auto stored = f.load("a");
     CHECK(!stored.value().holder);
-    CHECK(!stored.value().ended);
+    CHECK(!stored.value().cancelled);
     REQUIRE(stored.value().groups.size() == 2);
     CHECK(stored.value().groups[1].results[0].text == "y");
 }
 
-// Story: the answer to a commit is lost; the second try finds its place taken, by itself.
-TEST_CASE("a commit whose answer was lost is recognised as one's own")
+// After a lost reply the retried commit finds its key taken by its own first attempt.
+TEST_CASE("a commit whose reply was lost is recognised as one's own")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    f.store.faults = { fake_store::fault::lost_after };
-    CHECK(!f.commit(f.keeper, 0, first, revision, false));
-    CHECK(f.commit(f.keeper, 0, first, revision, false).value() == job_keeper::commit_result::committed);
+    f.store.faults = { fake_store::fault::reply_lost };
+    CHECK(!f.commit(f.jobStore, 0, first, revision, false));
+    CHECK(
+        f.commit(f.jobStore, 0, first, revision, false).value() == bulk_job_store::commit_result::committed);
     CHECK(f.load("a").value().groups.size() == 1);
 }
 
-// Story: a process is paused; its lease lapses and another takes the job and lists results. The first wakes,
-// still believes that it holds the job, and lists its own: positions change, items stand twice.
-TEST_CASE("a holder that was replaced can commit nothing, also by a call that is executed late")
+// Guards against duplicate or reordered results: a process is paused, its lease expires, another one takes
+// the job over and commits, and the first one resumes and commits as if it still held the job.
+TEST_CASE("a former holder cannot commit, not even by a call that is executed late")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    f.store.faults = { fake_store::fault::executed_later };
-    CHECK(!f.commit(f.keeper, 0, first, revision, false));
-    const auto taken = f.take(f.other, f.open().jobs.at(0));
+    f.store.faults = { fake_store::fault::executed_late };
+    CHECK(!f.commit(f.jobStore, 0, first, revision, false));
+    const auto taken = f.takeOver(f.other, f.open().jobs.at(0));
     REQUIRE(taken != 0);
-    CHECK(f.take(f.keeper, { "a", { "vm1", 1 }, {}, 0, revision }) == 0);
-    f.store.executeLate();
+    CHECK(f.takeOver(f.jobStore, { "a", { "vm1", 1 }, {}, 0, revision }) == 0);
+    f.store.executeDelayed();
     CHECK(f.load("a").value().groups.empty());
-    CHECK(f.commit(f.other, 0, second, taken, false).value() == job_keeper::commit_result::committed);
-    CHECK(f.commit(f.keeper, 0, first, revision, false).value() == job_keeper::commit_result::lost);
-    CHECK(f.commit(f.keeper, 1, first, revision, false).value() == job_keeper::commit_result::lost);
+    CHECK(f.commit(f.other, 0, second, taken, false).value() == bulk_job_store::commit_result::committed);
+    CHECK(f.commit(f.jobStore, 0, first, revision, false).value() == bulk_job_store::commit_result::lost);
+    CHECK(f.commit(f.jobStore, 1, first, revision, false).value() == bulk_job_store::commit_result::lost);
     CHECK(f.load("a").value().groups.size() == 1);
 }
 
-// Story: a caller ends its job and is told so; a commit that was on its way revives it.
-TEST_CASE("an ended job takes no more results, and ending it again changes nothing")
+// Guards against a commit in flight that revives a job after its caller was told that it is cancelled.
+TEST_CASE("a cancelled job accepts no more results, and cancelling it again has no effect")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    CHECK(f.commit(f.keeper, 0, first, revision, false));
+    CHECK(f.commit(f.jobStore, 0, first, revision, false));
     CHECK(f.end("a").value());
     CHECK(f.end("a").value());
-    CHECK(f.commit(f.keeper, 1, second, revision, true).value() == job_keeper::commit_result::lost);
+    CHECK(f.commit(f.jobStore, 1, second, revision, true).value() == bulk_job_store::commit_result::lost);
     const auto stored = f.load("a");
-    CHECK(stored.value().ended);
+    CHECK(stored.value().cancelled);
     CHECK(stored.value().groups.size() == 1);
     CHECK(f.end("nobody").error().kind == failure_kind::not_found);
     f.create("b");
-    f.store.faults = { fake_store::fault::lost_after };
+    f.store.faults = { fake_store::fault::reply_lost };
     CHECK(f.end("b").value());
 }
 
-TEST_CASE("a removed job leaves nothing")
+TEST_CASE("removing a job removes all its keys")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
-    CHECK(f.commit(f.keeper, 0, first, revision, false));
-    f.keeper.remove(record("a"), 1);
+    CHECK(f.commit(f.jobStore, 0, first, revision, false));
+    f.jobStore.remove(record("a"), 1);
     CHECK(f.store.values.empty());
 }
 
-// Story: a caller sends a job of 3 MB, well within what it may send; it was refused with 413 because its
-// record is larger than one value of the store.
-TEST_CASE("a job larger than a value of the store is kept in parts")
+// Guards against jobs refused with 413 although their size is allowed: a job of 3 MB has a record that
+// exceeds the size limit of a value in the store.
+TEST_CASE("a job larger than a value of the store is stored in parts")
 {
     fixture f;
     const auto large = largeRecord("large", 3 * valueBytes);
-    std::optional<result<job_keeper::creation>> created;
-    f.store.faults = { fake_store::fault::lost_after };
-    f.keeper.create(large, {}, f.into(created));
+    std::optional<result<bulk_job_store::creation>> created;
+    f.store.faults = { fake_store::fault::reply_lost };
+    f.jobStore.create(large, {}, f.into(created));
     REQUIRE(*created);
     for (const auto& [key, value] : f.store.values)
         CHECK(value.value.size() <= valueBytes);
@@ -201,37 +205,37 @@
     REQUIRE(stored);
     REQUIRE(stored.value().record.items.size() == 2);
     CHECK((stored.value().record.items[1].body == large.items[1].body));
-    f.keeper.remove(large, 0);
+    f.jobStore.remove(large, 0);
     CHECK(f.store.values.empty());
 }
 
-TEST_CASE("a job that does not fit into one call of the store is refused")
+TEST_CASE("a job that does not fit into one transaction is refused")
 {
     fixture f;
-    std::optional<result<job_keeper::creation>> created;
-    f.keeper.create(largeRecord("huge", 20 * valueBytes), {}, f.into(created));
+    std::optional<result<bulk_job_store::creation>> created;
+    f.jobStore.create(largeRecord("huge", 20 * valueBytes), {}, f.into(created));
     REQUIRE(!*created);
     CHECK(created->error().kind == failure_kind::too_large);
     CHECK(created->error().ran == verdict::not_run);
     CHECK(f.store.values.empty());
 }
 
-// Story: the process that holds a job is killed while ten of its items are nearly done. The next holder began
-// all of them anew; they ended late, and their targets had worked twice.
-TEST_CASE("a job that changes hands goes on where its items stood")
+// Guards against items that start from the beginning after a takeover: the holder was killed while ten items
+// were nearly finished; they finished late, and their targets did the work twice.
+TEST_CASE("the items of a job resume from saved progress after a takeover")
 {
     fixture f;
     const auto revision = f.create("a").value().openRevision;
     bulk_job job(record("a"), {}, {});
     const auto started = job.next();
     for (std::uint64_t id = 0; id < 3; ++id)
-        REQUIRE(job.event(started->index, id, "e" + std::to_string(id)));
+        REQUIRE(job.addEvent(started->index, id, "e" + std::to_string(id)));
     std::optional<result<bool>> saved;
-    const std::vector<job_keeper::progress_save> saves { { "a", revision,
+    const std::vector<bulk_job_store::progress_save> saves { { "a", revision,
         encodeItemProgress(job.progress()) } };
-    f.keeper.saveProgress(saves, f.into(saved));
+    f.jobStore.saveProgress(saves, f.into(saved));
     CHECK(saved->value());
-    const auto taken = f.take(f.other, f.open().jobs.at(0));
+    const auto taken = f.takeOver(f.other, f.open().jobs.at(0));
     auto stored = f.load("a").value();
     REQUIRE(stored.progress.size() == 1);
     bulk_job again(stored.record, {}, {});
@@ -240,22 +244,22 @@
     CHECK(next->index == started->index);
     CHECK(next->lastEvent == 2);
     CHECK(again.progress() == job.progress());
-    // A former holder's late save does nothing.
+    // A late save by the former holder has no effect.
     saved.reset();
-    const std::vector<job_keeper::progress_save> late { { "a", revision, encodeItemProgress({}) } };
-    f.keeper.saveProgress(late, f.into(saved));
+    const std::vector<bulk_job_store::progress_save> late { { "a", revision, encodeItemProgress({}) } };
+    f.jobStore.saveProgress(late, f.into(saved));
     CHECK(!saved->value());
     CHECK(f.load("a").value().progress.size() == 1);
-    // It goes with the job's end.
-    REQUIRE(f.commit(f.other, 0, first, taken, false).value() == job_keeper::commit_result::committed);
-    REQUIRE(f.commit(f.other, 1, second, taken, true).value() == job_keeper::commit_result::committed);
+    // Progress is removed when the job is finished.
+    REQUIRE(f.commit(f.other, 0, first, taken, false).value() == bulk_job_store::commit_result::committed);
+    REQUIRE(f.commit(f.other, 1, second, taken, true).value() == bulk_job_store::commit_result::committed);
     CHECK(!f.store.values.contains("yuccachute/progress/a"));
 }
 
-TEST_CASE("saved progress of an item that has got its result since is not taken over")
+TEST_CASE("saved progress of an item that already has a result is ignored")
 {
     bulk_job job(record("a"), {}, {});
-    job.committed(first);
+    job.addCommitted(first);
     job.restore({ { 0, 5, { "x" } }, { 1, 7, { "y", "z" } }, { 9, 1, { "w" } } });
     const auto next = job.next();
     CHECK(next->index == 1);
@@ -266,18 +270,18 @@
 
 namespace {
 
-using commits = std::vector<job_keeper::job_commit>;
+using commits = std::vector<bulk_job_store::job_commit>;
 
 result<bool> commitTogether(fixture& f, const commits& jobs)
 {
     std::optional<result<bool>> outcome;
-    f.keeper.commitTogether(jobs, f.into(outcome));
+    f.jobStore.commitTogether(jobs, f.into(outcome));
     return *outcome;
 }
 
 } // namespace
 
-TEST_CASE("results of several jobs are committed by one call")
+TEST_CASE("results of several jobs are committed in one transaction")
 {
     fixture f;
     const auto a = f.create("a").value().openRevision;
@@ -294,57 +298,56 @@
     CHECK(!f.load("b").value().holder);
 }
 
-// Story: one of several jobs has been taken by another process. The call that commits results of all of them
-// does nothing; were it taken for done, the others' results would be lost, and were it repeated, they would
-// wait for ever.
-TEST_CASE("a job that was lost does not hold up those that are committed with it")
+// A joint commit fails if another process has taken over one of its jobs. If the failure counted as success,
+// the results of the other jobs would be lost; if the same call were repeated, they would never be committed.
+TEST_CASE("a lost job does not block the jobs that are committed with it")
 {
     fixture f;
     const auto a = f.create("a").value().openRevision;
     const auto b = f.create("b").value().openRevision;
     for (const auto& job : f.open().jobs) {
         if (job.id == "a")
-            f.take(f.other, job);
+            f.takeOver(f.other, job);
     }
     CHECK(!commitTogether(
         f, { { "a", { 0, first, a, false, std::nullopt } }, { "b", { 0, second, b, false, std::nullopt } } })
                .value());
     CHECK(f.load("b").value().groups.empty());
-    CHECK(f.commit(f.keeper, 0, first, a, false).value() == job_keeper::commit_result::lost);
-    std::optional<result<job_keeper::commit_result>> alone;
-    f.keeper.commit("b", { 0, second, b, false, std::nullopt }, f.into(alone));
-    CHECK(alone->value() == job_keeper::commit_result::committed);
+    CHECK(f.commit(f.jobStore, 0, first, a, false).value() == bulk_job_store::commit_result::lost);
+    std::optional<result<bulk_job_store::commit_result>> alone;
+    f.jobStore.commit("b", { 0, second, b, false, std::nullopt }, f.into(alone));
+    CHECK(alone->value() == bulk_job_store::commit_result::committed);
 }
 
-// Story: the answer to a common commit is lost, or the call is executed late. The second try must find its
-// own results, and nothing may stand twice.
-TEST_CASE("a common commit whose answer was lost is settled job by job")
+// The reply to a joint commit is lost, or the call is executed late. Each job's retry must recognise its own
+// results, and none may be stored twice.
+TEST_CASE("a joint commit whose reply was lost is resolved job by job")
 {
     fixture f;
     const auto a = f.create("a").value().openRevision;
     const auto b = f.create("b").value().openRevision;
     const commits jobs { { "a", { 0, first, a, false, std::nullopt } },
         { "b", { 0, second, b, false, std::nullopt } } };
-    f.store.faults = { fake_store::fault::executed_later };
+    f.store.faults = { fake_store::fault::executed_late };
     CHECK(!commitTogether(f, jobs));
-    f.store.faults = { fake_store::fault::lost_after };
+    f.store.faults = { fake_store::fault::reply_lost };
     CHECK(!commitTogether(f, jobs));
-    f.store.executeLate();
+    f.store.executeDelayed();
     CHECK(!commitTogether(f, jobs).value());
-    CHECK(f.commit(f.keeper, 0, first, a, false).value() == job_keeper::commit_result::committed);
+    CHECK(f.commit(f.jobStore, 0, first, a, false).value() == bulk_job_store::commit_result::committed);
     CHECK(f.load("a").value().groups.size() == 1);
     CHECK(f.load("b").value().groups.size() == 1);
 }
 
-TEST_CASE("no more jobs are committed by one call than it may have entries and bytes")
+TEST_CASE("a joint commit is limited in operations and bytes")
 {
     fixture f;
     const bulk_result_group large { "t", { { 0, true, std::string(valueBytes, 'x') } } };
     commits jobs;
     for (int i = 0; i < 9; ++i)
         jobs.push_back({ "j" + std::to_string(i), { 0, first, 1, true, 5 } });
-    CHECK(f.keeper.fitTogether(jobs) == 4);
+    CHECK(f.jobStore.fittingOneCall(jobs) == 4);
     const commits heavy { { "a", { 0, large, 1, false, std::nullopt } },
         { "b", { 0, large, 1, false, std::nullopt } } };
-    CHECK(f.keeper.fitTogether(heavy) == 1);
+    CHECK(f.jobStore.fittingOneCall(heavy) == 1);
 }
