--- a/libs/places/include/places/places.h
+++ b/libs/places/include/places/places.h
@@ -15,38 +15,38 @@
 #include <string>
 #include <vector>
 
-/// Finding a place at a target: asks the dispatchers of the service's targets, zone by zone, and hosts the
-/// groups that this process is dispatcher of. Layer: processes.
+/// Acquires slots at targets: requests them from the dispatchers of the service's target groups, zone by
+/// zone, and hosts the target groups that this process is a dispatcher of. Layer: processes.
 namespace yuccachute {
 
-/// An entry that can be dispatcher.
+/// An entry process that can be dispatcher of target groups.
 struct dispatcher_info {
     std::string vm;
     std::string zone;
-    std::string address; ///< host:port for other processes.
-    bool large = true; ///< Its VM is one of the larger ones of its zone.
+    std::string address; ///< host:port at which other processes reach it.
+    bool large = true; ///< Its VM is one of the larger VMs of its zone.
 };
 
-/// What is wanted.
+/// What a request needs of a slot, and how long it can wait for one.
 struct slot_requirements {
     std::string requestId; ///< For logs.
     std::string service;
     std::string customer;
-    double weight = 1; ///< The customer's share when places are short, against those of others.
-    bool begun = false; ///< The request has run in part at another target.
+    double weight = 1; ///< The customer's weight against other customers when slots are scarce.
+    bool begun = false; ///< The request has already run in part at another target.
     work_class workClass = work_class::live;
-    double cost = 1; ///< Tokens expected.
-    std::vector<std::uint64_t> prefixes; ///< Hashes of the prompt's leading parts.
+    double cost = 1; ///< Expected number of tokens.
+    std::vector<std::uint64_t> prefixes; ///< Chained hashes of the prompt's leading blocks.
     std::string avoid; ///< Target that has just failed this request.
-    steady_time grantDeadline; ///< Latest useful time of a grant.
-    milliseconds hold { 0 }; ///< Longest use of the place.
-    steady_time due; ///< Bulk only.
+    steady_time grantDeadline; ///< A grant after this time is of no use.
+    milliseconds hold { 0 }; ///< Longest time for which the slot may be held.
+    steady_time due; ///< When the batch job is due; bulk work only.
 };
 
-/// A place at a target, to be given back exactly once.
+/// A granted slot at a target. It must be released exactly once.
 struct held_slot {
     std::string group;
-    std::string dispatcher; ///< Address; empty if it is this process.
+    std::string dispatcher; ///< Address; empty if this process is the dispatcher.
     std::uint64_t grantId = 0;
     std::string target;
     std::string address;
@@ -54,54 +54,59 @@
     milliseconds waited { 0 };
 };
 
-/// A request for a place that is under way. Dropping it withdraws it.
+/// A pending request for a slot. Destroying this object withdraws the request.
 class slot_acquisition {
 public:
     virtual ~slot_acquisition() = default;
 };
 
-/// Asks targets for their load.
+/// Fetches load reports from targets.
 class load_report_source {
 public:
     using callback = std::function<void(result<load_report>)>;
 
     virtual ~load_report_source() = default;
-    /// Exactly one answer comes, later; a failure after a fraction of a second if the target is silent.
+    /// Calls `done` exactly once, asynchronously; with a failure after a fraction of a second if the target
+    /// does not respond.
     virtual void ask(const std::string& address, callback done) = 0;
 };
 
-/// How targets are given to requests on a platform: bulk work fills the spare slots, by due time.
+/// Options of the target groups on a platform: bulk work fills all spare slots, ordered by due time.
 group_options defaultGroupOptions();
 
 class limit_gate;
 
-/// The groups of targets that this process is dispatcher of. On the loop's thread.
+/// Hosts the target groups that this process is a dispatcher of. All calls are made on the event loop's
+/// thread.
 class group_host {
 public:
-    /// Sends what a group has decided to the session that asked.
+    /// Sends the decisions of a group to the session whose requests they answer.
     using sender = std::function<void(std::uint64_t session, envelope message)>;
-    /// Whether this process is the first dispatcher of a group, as far as it knows.
-    using ownership = std::function<bool(const std::string& group)>;
-
-    /// Two dispatchers of one group each fill the slots with bulk work that the other does not see and cannot
-    /// ask back; live requests then find their targets full. So only the first one gives places to bulk work,
-    /// and one that is not first any more asks its own back.
+    /// Whether this process is the primary dispatcher of a group, according to what it knows. The primary is
+    /// the highest-ranked dispatcher that responds.
+    using primary_check = std::function<bool(const std::string& group)>;
+
+    /// If two dispatchers of a group both granted slots to bulk work, each would fill slots with work that
+    /// the other can neither see nor revoke, and live requests would find all targets full. Therefore only
+    /// the primary dispatcher grants slots to bulk work, and a dispatcher that is no longer primary revokes
+    /// its bulk grants.
     ///
-    /// A dispatcher sees only the places that it has given. Work that its predecessor placed, that another
-    /// one placed across a cut, or whose holder has died holds slots that it takes for free; live requests
-    /// then wait in the target's own queue. With a source of load reports it learns of such work; the source
-    /// may be null.
+    /// A dispatcher sees only the slots that it has granted itself. Work granted by its predecessor or by
+    /// another dispatcher during a network partition, and work whose holder has died, occupies slots that the
+    /// dispatcher takes for free; live requests then wait in the target's own queue. Load reports from
+    /// `loads` make such work visible. `loads` may be null.
     ///
-    /// Live work is granted within its customers' limits; null for none.
-    group_host(event_loop& loop, sender send, ownership first, load_report_source* loads,
+    /// Live work is granted within the rate limits of its customers. `limits` may be null for no limits.
+    group_host(event_loop& loop, sender send, primary_check first, load_report_source* loads,
         const group_options& options, distributed_rate_limiter* limits = nullptr);
     ~group_host();
 
-    /// All targets of the fleet, and what has changed among them; a group has those of one service in one
-    /// zone. The directory has to outlive this object.
+    /// Updates the targets of the fleet; `changes` holds the differences from the previous call. A group uses
+    /// the targets of one service in one zone. `targets` must outlive this object.
     void setTargets(const target_directory& targets, std::span<const target_change> changes, steady_time now);
-    /// Takes what a session sent. The session's answer to each ask comes through the sender, at once if it
-    /// can be decided; otherwise an acknowledgement, which tells a queue from a dead dispatcher.
+    /// Handles a message from a session. Each slot request in it is answered through the sender: at once if a
+    /// decision is possible, otherwise with an acknowledgement, which distinguishes a queued request from a
+    /// dead dispatcher.
     void received(std::uint64_t session, envelope message, steady_time now);
     void sessionClosed(std::uint64_t session, steady_time now);
     std::map<std::string, group_summary> summaries(steady_time now) const;
@@ -117,47 +122,51 @@
 
     hosted_group& find(const std::string& name, steady_time now);
     std::vector<target_description> targetsOf(const std::string& name) const;
-    /// Whether any of the changes concerns the group.
-    bool takeChanges(const std::string& name, target_group& group, std::span<const target_change> changes,
+    /// Applies the changes that concern the group. Returns whether there were any.
+    bool applyChanges(const std::string& name, target_group& group, std::span<const target_change> changes,
         steady_time now) const;
-    void deliver(const std::string& name, hosted_group& hosted);
-    void keepTicking();
+    void sendDecisions(const std::string& name, hosted_group& hosted);
+    void armTick();
     void tick();
-    void askForReports(const std::string& name, hosted_group& hosted, steady_time now);
-    void takeReport(const std::string& name, const std::string& target, const result<load_report>& report);
+    void requestReports(const std::string& name, hosted_group& hosted, steady_time now);
+    void handleReport(const std::string& name, const std::string& target, const result<load_report>& report);
 
-    void receivedAsk(std::uint64_t session, ask_message one, envelope& acknowledgement, steady_time now);
+    void handleSlotRequest(
+        std::uint64_t session, ask_message one, envelope& acknowledgement, steady_time now);
     void received(const release_message& message, steady_time now);
 
     load_report_source* m_loads;
-    std::unique_ptr<limit_gate> m_gate;
+    std::unique_ptr<limit_gate> m_limitGate;
     group_options m_options;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< Answers may come after the end.
+    std::shared_ptr<bool> m_alive
+        = std::make_shared<bool>(true); ///< Load reports may arrive after the destructor.
     sender m_send;
-    ownership m_first;
+    primary_check m_isPrimary;
     const target_directory* m_targets = nullptr;
     std::map<std::string, hosted_group> m_groups;
-    /// Armed while a group has something to decide. Most processes of a large fleet are dispatcher of
-    /// nothing: a tick of 10 ms in each of 300 cost them more processor time than their requests.
+    /// Armed only while a group has pending work. Most processes of a large fleet are dispatcher of no group:
+    /// with a permanent tick of 10 ms, 300 such processes spent more processor time on ticks than on their
+    /// requests.
     loop_timer m_tick;
 };
 
-/// Figures of a broker, for metrics.
+/// Counters of a slot broker, exported as metrics.
 struct slot_broker_stats {
     std::uint64_t asks = 0;
     std::uint64_t grants = 0;
-    std::uint64_t grantsInOtherZones = 0; ///< In another zone than this process's.
+    std::uint64_t grantsInOtherZones = 0; ///< Outside this process's own zone.
     std::uint64_t refusals = 0;
     std::uint64_t unresponsiveDispatchers = 0;
 };
 
-/// Asks for places. On the loop's thread, but for the calls of peer_handler, which come from the transport.
+/// Acquires slots at targets. All calls are made on the event loop's thread, except for the session
+/// functions, which the transport's threads call.
 class slot_broker final {
 public:
     using granted = std::function<void(result<held_slot>)>;
     using revoked = std::function<void()>;
 
-    /// The process's own address is empty if it is no entry: then it hosts no group, and needs neither load
+    /// `self.address` is empty for a process that is not an entry: it hosts no groups, and needs neither load
     /// reports nor limits.
     slot_broker(event_loop& loop, rpc_client& client, dispatcher_info self,
         load_report_source* loads = nullptr, const group_options& options = defaultGroupOptions(),
@@ -167,20 +176,21 @@
     slot_broker& operator=(const slot_broker&) = delete;
 
     void setDispatchers(std::vector<dispatcher_info> dispatchers);
-    /// With whom customers' limits are shared.
+    /// Sets the processes that share the customers' limits with this one.
     void setLimitMembers(std::span<const limit_member> members);
-    /// The directory has to outlive this object.
+    /// `targets` must outlive this object.
     void setTargets(const target_directory& targets, std::span<const target_change> changes, steady_time now);
-    /// The customers' limits have been set anew.
+    /// To be called after the customers' limits have changed.
     void limitsChanged();
 
-    /// Asks for a place; exactly one answer comes, later. A refusal's retryAfter says when to come back.
+    /// Requests a slot. `done` is called exactly once, asynchronously. The retryAfter of a failure says when
+    /// to try again.
     std::shared_ptr<slot_acquisition> acquire(slot_requirements request, granted done);
-    /// Calls the function when the dispatcher wants the place back. It stays taken until it is released.
+    /// Calls `notify` when the dispatcher revokes the grant. The slot stays in use until it is released.
     void onRevoked(const held_slot& taken, revoked notify);
     void release(const held_slot& taken, grant_outcome outcome, milliseconds firstToken);
 
-    // Streams that peers have opened to this process; from any thread.
+    // Grant streams that peers have opened to this process. These functions are thread-safe.
     void sessionOpened(std::uint64_t session, std::function<void(envelope)> send);
     void sessionReceived(std::uint64_t session, envelope message);
     void sessionClosed(std::uint64_t session);
@@ -193,26 +203,28 @@
     std::shared_ptr<impl> m_impl;
 };
 
-/// Availability zones that had no room for bulk work a moment ago.
+/// Remembers availability zones that recently had no free slot for bulk work.
 ///
-/// At a live peak all items wait, and each that asked all zones again on each try made the dispatchers answer
-/// refusals instead of live requests: 1,000 waiting items, five zones and a try every 400 ms would be
-/// 12,000 asks a second. So a zone that has just refused one item of a process is not asked at once for its
-/// others; they wait in a queue, and one of them finds out when there is room again.
-class full_zones {
+/// During a live load peak all items wait. If each of them requested a slot in every zone on each attempt,
+/// the dispatchers would be busy refusing items instead of serving live requests: 1,000 waiting items, five
+/// zones and an attempt every 400 ms would make 12,000 slot requests a second. Therefore a zone that has just
+/// refused one item of a process is skipped by the other items of this process. They wait in a queue, and one
+/// of them finds out when slots are free again.
+class full_zone_cache {
 public:
-    void noteFull(std::string_view zone, steady_time now);
-    void noteRoom(std::string_view zone);
-    bool full(std::string_view zone, steady_time now) const;
+    void markFull(std::string_view zone, steady_time now);
+    void markAvailable(std::string_view zone);
+    bool isFull(std::string_view zone, steady_time now) const;
 
 private:
     std::map<std::string, steady_time, std::less<>> m_until;
 };
 
-/// Entries that may be dispatcher of a group, the responsible one first: those of its zone before the others,
-/// and among these those on larger VMs. A dispatcher hears of each request of its zone, and answers within a
-/// few milliseconds or makes all of them late: with 20 targets and 110 live requests a second the busiest
-/// entry of a zone takes 0.13 cores on average, more than a VM of 0.12 cores has.
+/// Ranks the entries that may be dispatcher of a group, with the preferred one first: entries of the group's
+/// zone before all others, and among these the entries on larger VMs. A dispatcher handles every request of
+/// its zone and has to answer within a few milliseconds, or it delays all of them: with 20 targets and 110
+/// live requests a second the busiest entry of a zone uses 0.13 cores on average, more than a VM of 0.12
+/// cores has.
 std::vector<dispatcher_info> rankDispatchers(
     const std::string& group, std::string_view zone, std::span<const dispatcher_info> dispatchers);
 
--- a/libs/places/src/group_host.cpp
+++ b/libs/places/src/group_host.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Deadlines of waiting asks are kept to this.
+/// Resolution of the deadlines of queued slot requests.
 constexpr milliseconds tickInterval { 10 };
-/// A target that is full although it should have room works on something that this dispatcher does not know
-/// of, such as requests granted by its predecessor; these end within about so long.
+/// A target that is unexpectedly full is running work unknown to this dispatcher, such as requests granted by
+/// its predecessor. Such work finishes within about this time.
 constexpr milliseconds refusalBackoff { 150 };
-constexpr milliseconds notDispatcherRetry { 200 };
+constexpr milliseconds notPrimaryRetryDelay { 200 };
 
 } // namespace
 
@@ -24,13 +24,13 @@
     return options;
 }
 
-group_host::group_host(event_loop& loop, sender send, ownership first, load_report_source* loads,
+group_host::group_host(event_loop& loop, sender send, primary_check first, load_report_source* loads,
     const group_options& options, distributed_rate_limiter* limits)
     : m_loads(loads)
-    , m_gate(std::make_unique<limit_gate>(limits))
+    , m_limitGate(std::make_unique<limit_gate>(limits))
     , m_options(options)
     , m_send(std::move(send))
-    , m_first(std::move(first))
+    , m_isPrimary(std::move(first))
     , m_tick(loop)
 {
 }
@@ -56,12 +56,12 @@
 {
     m_targets = &targets;
     for (auto& [name, hosted] : m_groups) {
-        if (takeChanges(name, hosted.group, changes, now))
-            deliver(name, hosted);
+        if (applyChanges(name, hosted.group, changes, now))
+            sendDecisions(name, hosted);
     }
 }
 
-bool group_host::takeChanges(const std::string& name, target_group& group,
+bool group_host::applyChanges(const std::string& name, target_group& group,
     std::span<const target_change> changes, steady_time now) const
 {
     std::vector<target_description> set;
@@ -111,28 +111,30 @@
     }
     for (const auto& withdrawal : message.withdrawals) {
         find(withdrawal.group, now).group.withdraw(session, withdrawal.slotRequestId, now);
-        m_gate->dropped(session, withdrawal.slotRequestId, now);
+        m_limitGate->dropped(session, withdrawal.slotRequestId, now);
         touched.insert(withdrawal.group);
     }
     envelope acknowledgement;
     for (auto& one : message.asks) {
         touched.insert(one.group);
-        receivedAsk(session, std::move(one), acknowledgement, now);
+        handleSlotRequest(session, std::move(one), acknowledgement, now);
     }
     for (const auto& name : touched)
-        deliver(name, find(name, now));
+        sendDecisions(name, find(name, now));
     if (!acknowledgement.empty())
         m_send(session, std::move(acknowledgement));
-    keepTicking();
+    armTick();
 }
 
-void group_host::receivedAsk(
+void group_host::handleSlotRequest(
     std::uint64_t session, ask_message one, envelope& acknowledgement, steady_time now)
 {
     one.ask.holder = session;
-    auto refused = m_gate->admit(one.ask, now);
-    if (one.ask.workClass == work_class::bulk && !m_first(one.group))
-        refused = notRun(failure_kind::unavailable, "another entry is dispatcher", notDispatcherRetry);
+    auto refused = m_limitGate->admit(one.ask, now);
+    if (one.ask.workClass == work_class::bulk && !m_isPrimary(one.group))
+        refused = notRun(failure_kind::unavailable,
+            "bulk work is refused: this entry is not the primary dispatcher of the group",
+            notPrimaryRetryDelay);
     if (refused) {
         envelope refusal;
         refusal.refusals.push_back({ session, one.ask.id, std::move(*refused) });
@@ -145,28 +147,28 @@
 void group_host::received(const release_message& message, steady_time now)
 {
     auto& group = find(message.group, now).group;
-    m_gate->released(group.requestOfGrant(message.release.grantId), message.release.outcome, now);
+    m_limitGate->released(group.requestOfGrant(message.release.grantId), message.release.outcome, now);
     group.release(message.release, now);
 }
 
 void group_host::sessionClosed(std::uint64_t session, steady_time now)
 {
-    m_gate->sessionClosed(session, now);
+    m_limitGate->sessionClosed(session, now);
     for (auto& [name, hosted] : m_groups) {
         hosted.group.dropHolder(session, now);
-        deliver(name, hosted);
+        sendDecisions(name, hosted);
     }
 }
 
-void group_host::deliver(const std::string& name, hosted_group& hosted)
+void group_host::sendDecisions(const std::string& name, hosted_group& hosted)
 {
     std::map<std::uint64_t, envelope> bySession;
     for (auto& one : hosted.group.takeDecisions()) {
         if (auto* given = std::get_if<slot_grant>(&one)) {
-            m_gate->granted(given->holder, given->slotRequestId);
+            m_limitGate->granted(given->holder, given->slotRequestId);
             bySession[given->holder].grants.push_back(std::move(*given));
         } else if (auto* refused = std::get_if<slot_refusal>(&one)) {
-            m_gate->dropped(refused->holder, refused->slotRequestId, std::chrono::steady_clock::now());
+            m_limitGate->dropped(refused->holder, refused->slotRequestId, std::chrono::steady_clock::now());
             bySession[refused->holder].refusals.push_back(std::move(*refused));
         }
         if (const auto* revoked = std::get_if<grant_revocation>(&one))
@@ -176,7 +178,7 @@
         m_send(session, std::move(message));
 }
 
-void group_host::keepTicking()
+void group_host::armTick()
 {
     if (!m_tick.armed())
         m_tick.arm(tickInterval, [this] { tick(); });
@@ -187,29 +189,29 @@
     const auto now = std::chrono::steady_clock::now();
     bool active = false;
     for (auto& [name, hosted] : m_groups) {
-        if (!m_first(name))
+        if (!m_isPrimary(name))
             hosted.group.revokeBulk();
         hosted.group.tick(now);
-        deliver(name, hosted);
-        askForReports(name, hosted, now);
+        sendDecisions(name, hosted);
+        requestReports(name, hosted, now);
         active = active || hosted.group.active(now);
     }
     if (active)
-        keepTicking();
+        armTick();
 }
 
-void group_host::askForReports(const std::string& name, hosted_group& hosted, steady_time now)
+void group_host::requestReports(const std::string& name, hosted_group& hosted, steady_time now)
 {
     for (const auto& due : hosted.group.reportsDue(now)) {
         m_loads->ask(due.address,
             [this, alive = std::weak_ptr(m_alive), name, target = due.target](result<load_report> report) {
                 if (!alive.expired())
-                    takeReport(name, target, report);
+                    handleReport(name, target, report);
             });
     }
 }
 
-void group_host::takeReport(
+void group_host::handleReport(
     const std::string& name, const std::string& target, const result<load_report>& report)
 {
     auto& hosted = m_groups.at(name);
@@ -218,7 +220,7 @@
         hosted.group.report(target, report.value(), now);
     else
         hosted.group.recordMissedReport(target, now);
-    deliver(name, hosted);
+    sendDecisions(name, hosted);
 }
 
 std::map<std::string, group_summary> group_host::summaries(steady_time now) const
--- a/libs/places/src/limit_exchange.cpp
+++ b/libs/places/src/limit_exchange.cpp
@@ -4,16 +4,17 @@
 
 namespace {
 
-/// Of the shortest interval at which members are asked, a quarter: questions are not late by more.
+/// A quarter of the shortest interval at which requests to the members become due, so that none is delayed by
+/// more.
 constexpr milliseconds tickInterval { 25 };
 
 } // namespace
 
 limit_exchange::limit_exchange(
-    event_loop& loop, distributed_rate_limiter& limits, std::string ownAddress, environment around)
+    event_loop& loop, distributed_rate_limiter& limits, std::string ownAddress, environment env)
     : m_limits(limits)
     , m_ownAddress(std::move(ownAddress))
-    , m_around(std::move(around))
+    , m_env(std::move(env))
     , m_timer(loop)
 {
 }
@@ -34,16 +35,17 @@
 void limit_exchange::tick()
 {
     const auto now = std::chrono::steady_clock::now();
-    m_limits.setIsDispatcher(m_around.dispatches(now), now);
-    const auto ask = m_limits.nextShareRequest(now);
-    const auto request = m_limits.nextTokenRequest(now);
+    m_limits.setIsDispatcher(m_env.isDispatcher(now), now);
+    const auto shareRequest = m_limits.nextShareRequest(now);
+    const auto tokenRequest = m_limits.nextTokenRequest(now);
     for (const auto& member : m_members) {
-        if (member.address == m_ownAddress || (!member.registered && m_around.silent(member.address, now)))
+        if (member.address == m_ownAddress
+            || (!member.registered && m_env.isUnresponsive(member.address, now)))
             continue;
-        if (ask)
-            sendTo(member, *ask);
-        if (request && m_limits.isGranting(member.vm, now))
-            sendTo(member, *request);
+        if (shareRequest)
+            sendTo(member, *shareRequest);
+        if (tokenRequest && m_limits.isGranting(member.vm, now))
+            sendTo(member, *tokenRequest);
     }
     m_timer.arm(tickInterval, [this] { tick(); });
 }
@@ -52,7 +54,7 @@
 {
     envelope message;
     message.limits.push_back(content);
-    m_around.send(member.address, std::move(message));
+    m_env.send(member.address, std::move(message));
 }
 
 } // namespace yuccachute
--- a/libs/places/src/place_broker.cpp
+++ b/libs/places/src/slot_broker.cpp
@@ -12,20 +12,21 @@
 
 namespace {
 
-/// A dispatcher in reach acknowledges an ask within a few milliseconds, also on a slowed VM; a caller of a
-/// dead one loses this much.
+/// A reachable dispatcher acknowledges a slot request within a few milliseconds, even on an overloaded VM. A
+/// dead dispatcher delays a request by this time.
 constexpr milliseconds acknowledgementTimeout { 50 };
-/// A dispatcher that did not answer is asked last for so long.
-constexpr milliseconds silentFor { 1000 };
+/// A dispatcher that did not respond is tried last for this time.
+constexpr milliseconds unresponsivePeriod { 1000 };
 constexpr std::uint64_t localSession = 0;
-/// Asks whose late grants are still recognised; a late one comes within seconds.
-constexpr std::size_t mostGivenUp = 1000;
-/// Slots come free within 0.7 s of the end of a live peak, so a zone that has room again is found out well
-/// before its slots have stood empty for long; 15 batch processes that ask five zones so often make 100 asks
-/// a second in each.
-constexpr milliseconds fullFor { 150 };
-/// Targets that have left are remembered as long as a dispatcher could still name them, and for much longer.
-constexpr std::size_t mostGone = 2000;
+/// Abandoned slot requests to remember, so that a late grant can be released. Late grants arrive within
+/// seconds.
+constexpr std::size_t maxAbandonedRequests = 1000;
+/// After a live load peak, slots become free within 0.7 s, so a zone that has free slots again is detected
+/// long before these have been idle for a significant time. 15 batch processes that try five zones at this
+/// interval send 100 slot requests a second to each zone.
+constexpr milliseconds fullZonePeriod { 150 };
+/// Removed targets to remember. This covers far more time than a dispatcher can take to learn of a removal.
+constexpr std::size_t maxRemovedTargets = 2000;
 
 } // namespace
 
@@ -40,18 +41,18 @@
     return ranked;
 }
 
-void full_zones::noteFull(std::string_view zone, steady_time now)
+void full_zone_cache::markFull(std::string_view zone, steady_time now)
 {
-    m_until.insert_or_assign(std::string(zone), now + fullFor);
+    m_until.insert_or_assign(std::string(zone), now + fullZonePeriod);
 }
 
-void full_zones::noteRoom(std::string_view zone)
+void full_zone_cache::markAvailable(std::string_view zone)
 {
     if (const auto found = m_until.find(zone); found != m_until.end())
         m_until.erase(found);
 }
 
-bool full_zones::full(std::string_view zone, steady_time now) const
+bool full_zone_cache::isFull(std::string_view zone, steady_time now) const
 {
     const auto found = m_until.find(zone);
     return found != m_until.end() && now < found->second;
@@ -59,19 +60,19 @@
 
 namespace {
 
-/// Ids of targets that were listed once; another start of a target has another id.
-class gone_targets {
+/// Ids of targets that are no longer listed. A target has another id after a restart.
+class removed_targets {
 public:
     void add(const std::string& id)
     {
         if (m_ids.insert(id).second)
             m_oldest.push_back(id);
-        if (m_oldest.size() <= mostGone)
+        if (m_oldest.size() <= maxRemovedTargets)
             return;
         m_ids.erase(m_oldest.front());
         m_oldest.pop_front();
     }
-    /// It had only been missing.
+    /// The target is listed again.
     void remove(const std::string& id)
     {
         if (m_ids.erase(id) > 0)
@@ -91,8 +92,8 @@
         std::shared_ptr<dispatcher_link> stream;
         std::uint64_t generation = 0;
     };
-    class ask_run;
-    using ask_ptr = std::shared_ptr<ask_run>;
+    class slot_search;
+    using search_ptr = std::shared_ptr<slot_search>;
 
     impl(event_loop& eventLoop, rpc_client& rpc, dispatcher_info own, load_report_source* loads,
         const group_options& options, distributed_rate_limiter* customerLimits)
@@ -100,8 +101,9 @@
         , client(rpc)
         , self(std::move(own))
         , host(
-              loop, [this](std::uint64_t session, envelope message) { answer(session, std::move(message)); },
-              [this](const std::string& group) { return isFirst(group, std::chrono::steady_clock::now()); },
+              loop,
+              [this](std::uint64_t session, envelope message) { sendToSession(session, std::move(message)); },
+              [this](const std::string& group) { return isPrimary(group, std::chrono::steady_clock::now()); },
               loads, options, customerLimits)
         , limits(customerLimits)
     {
@@ -110,13 +112,15 @@
                 limit_exchange::environment { [this](const std::string& address, envelope message) {
                                                  send(address, std::move(message));
                                              },
-                    [this](steady_time now) { return dispatches(now); },
-                    [this](const std::string& address, steady_time now) { return silent(address, now); } });
+                    [this](steady_time now) { return isDispatcher(now); },
+                    [this](const std::string& address, steady_time now) {
+                        return isUnresponsive(address, now);
+                    } });
     }
 
-    /// Addresses of the group's dispatchers in their order. Kept until the list of dispatchers changes: with
-    /// 250 of them the sorting took longer than all else that an ask costs.
-    const std::vector<std::string>& rankedFor(const std::string& group)
+    /// Addresses of the group's dispatchers in order of rank. Cached until the list of dispatchers changes:
+    /// with 250 dispatchers, sorting took longer than all other work for a slot request.
+    const std::vector<std::string>& rankedDispatchers(const std::string& group)
     {
         auto& ranked = rankedByGroup[group];
         if (!ranked.empty() || dispatchers.empty())
@@ -128,62 +132,63 @@
         return ranked;
     }
 
-    /// Whether no other entry that answers comes before this process as dispatcher of a group.
-    bool isFirst(const std::string& group, steady_time now)
+    /// Whether this process is the primary dispatcher of a group: no responsive entry ranks before it.
+    bool isPrimary(const std::string& group, steady_time now)
     {
-        for (const auto& candidate : rankedFor(group)) {
+        for (const auto& candidate : rankedDispatchers(group)) {
             if (candidate == self.address)
                 return true;
-            if (!silent(candidate, now))
+            if (!isUnresponsive(candidate, now))
                 return false;
         }
         return true;
     }
 
-    /// Whether this process is the first dispatcher of any group.
-    bool dispatches(steady_time now)
+    /// Whether this process is the primary dispatcher of any group.
+    bool isDispatcher(steady_time now)
     {
         for (const auto& [service, zones] : targetsByZone) {
             for (const auto& [zone, count] : zones) {
-                if (isFirst(groupName(service, zone, 0), now))
+                if (isPrimary(groupName(service, zone, 0), now))
                     return true;
             }
         }
         return false;
     }
 
-    /// The dispatchers of a group to be asked one after the other: after two that do not answer the zone is
-    /// as good as gone. Those that were silent a moment ago come last.
+    /// The dispatchers of a group to try one after the other, those that recently failed to respond last.
+    /// There are at most two: if neither responds, the zone is taken for unavailable.
     std::deque<std::string> candidates(const std::string& group, steady_time now)
     {
         constexpr std::size_t most = 2;
         std::deque<std::string> chosen;
-        for (const bool wantSilent : { false, true }) {
-            for (const auto& address : rankedFor(group)) {
+        for (const bool wantUnresponsive : { false, true }) {
+            for (const auto& address : rankedDispatchers(group)) {
                 if (chosen.size() == most)
                     return chosen;
-                if (silent(address, now) == wantSilent)
+                if (isUnresponsive(address, now) == wantUnresponsive)
                     chosen.push_back(address);
             }
         }
         return chosen;
     }
 
-    bool silent(const std::string& address, steady_time now) const
+    bool isUnresponsive(const std::string& address, steady_time now) const
     {
-        const auto found = silentUntil.find(address);
-        return found != silentUntil.end() && now < found->second;
+        const auto found = unresponsiveUntil.find(address);
+        return found != unresponsiveUntil.end() && now < found->second;
     }
 
-    /// Whether this process knows that a target leaves or has left. A dispatcher that the store turns away
-    /// may not know it yet, and would send work to it.
-    bool leaving(const std::string& target) const
+    /// Whether this process knows that a target is draining or has been removed. A dispatcher that cannot
+    /// reach the store may not know this yet, and would grant slots at the target.
+    bool isDrainingOrRemoved(const std::string& target) const
     {
         const auto* known = targets ? targets->find(target) : nullptr;
-        return known ? known->draining : gone.contains(target);
+        return known ? known->draining : removedTargets.contains(target);
     }
 
-    /// In the order of their names. Where not all targets are known here, dispatchers know which they have.
+    /// Zones with targets of a service, sorted by name. If this process knows only some of the targets, this
+    /// includes every zone with a dispatcher, because dispatchers know the targets of their groups.
     std::vector<std::string> zonesOf(const std::string& service) const
     {
         std::set<std::string> zones;
@@ -201,13 +206,14 @@
     void countTarget(const listed_target& target);
     void uncountTarget(const listed_target& target);
 
-    void answer(std::uint64_t session, envelope message);
+    void sendToSession(std::uint64_t session, envelope message);
     void send(const std::string& address, envelope message);
     void received(const std::string& address, envelope message);
     void linkClosed(const std::string& address, std::uint64_t generation);
-    /// `answer` sends to whom the messages came from.
-    void hear(const std::vector<limit_message>& messages, const std::function<void(envelope)>& answer);
-    void returnStray(const std::string& dispatcher, const slot_grant& given);
+    /// `reply` sends to the process that the messages came from.
+    void handleLimitMessages(
+        const std::vector<limit_message>& messages, const std::function<void(envelope)>& reply);
+    void returnUnclaimedGrant(const std::string& dispatcher, const slot_grant& given);
     void released(const std::string& dispatcher, release_message message);
 
     event_loop& loop;
@@ -218,27 +224,29 @@
     std::unique_ptr<limit_exchange> exchange; ///< Null without limits.
     std::vector<dispatcher_info> dispatchers;
     std::map<std::string, std::vector<std::string>> rankedByGroup;
-    full_zones withoutRoom; ///< For bulk work.
-    std::map<std::string, std::map<std::string, std::size_t>> targetsByZone; ///< How many, by service.
+    full_zone_cache fullZones; ///< For bulk work.
+    std::map<std::string, std::map<std::string, std::size_t>>
+        targetsByZone; ///< Number of targets by service and zone.
     const target_directory* targets = nullptr;
-    gone_targets gone;
+    removed_targets removedTargets;
     std::map<std::string, link> links;
-    std::map<std::string, steady_time> silentUntil;
-    std::map<std::uint64_t, std::weak_ptr<ask_run>> asks;
-    std::map<std::uint64_t, std::string> givenUp; ///< Groups of asks that may still be granted, by id.
+    std::map<std::string, steady_time> unresponsiveUntil;
+    std::map<std::uint64_t, std::weak_ptr<slot_search>> pendingRequests;
+    std::map<std::uint64_t, std::string>
+        abandonedRequests; ///< Groups of abandoned requests that may still be granted, by id.
     std::map<std::uint64_t, std::function<void(envelope)>> sessions;
-    /// Callbacks of places that may be revoked, by dispatcher, group and grant.
-    std::map<std::tuple<std::string, std::string, std::uint64_t>, revoked> revocations;
+    /// Callbacks for the revocation of held slots, by dispatcher, group and grant.
+    std::map<std::tuple<std::string, std::string, std::uint64_t>, revoked> revocationCallbacks;
     slot_broker_stats figures;
-    std::uint64_t nextAsk = 1;
-    std::uint64_t nextLink = 1;
+    std::uint64_t nextRequestId = 1;
+    std::uint64_t nextLinkGeneration = 1;
     bool closed = false;
 };
 
-/// One request for a place, from zone to zone until one is found.
-class slot_broker::impl::ask_run : public std::enable_shared_from_this<ask_run> {
+/// The acquisition of one slot, which tries one zone after the other.
+class slot_broker::impl::slot_search : public std::enable_shared_from_this<slot_search> {
 public:
-    ask_run(std::shared_ptr<impl> owner, slot_requirements request, granted done)
+    slot_search(std::shared_ptr<impl> owner, slot_requirements request, granted done)
         : m_owner(std::move(owner))
         , m_request(std::move(request))
         , m_done(std::move(done))
@@ -252,28 +260,28 @@
         auto zones = m_owner->zonesOf(m_request.service);
         std::stable_partition(
             zones.begin(), zones.end(), [&](const auto& zone) { return zone == m_owner->self.zone; });
-        // First for a free place anywhere, the own zone before the others; then in the queue of the zone that
-        // expects the shortest wait.
+        // The first round looks for a free slot in any zone, starting with the own one. If there is none, the
+        // request waits in the queue of the zone that expects the shortest wait.
         if (zones.empty())
             return finish(notRun(failure_kind::unavailable,
                 "service " + m_request.service + " has no targets", milliseconds { 1000 }));
         const auto now = std::chrono::steady_clock::now();
         for (const auto& zone : zones) {
-            if (!m_bulk || !m_owner->withoutRoom.full(zone, now))
+            if (!m_bulk || !m_owner->fullZones.isFull(zone, now))
                 m_steps.push_back({ zone, std::nullopt });
         }
-        // An item whose own zone is known to be full waits there rather than in another that refuses it.
-        if (m_bulk && m_owner->withoutRoom.full(zones.front(), now))
+        // An item whose own zone is known to be full waits there instead of in another zone that refuses it.
+        if (m_bulk && m_owner->fullZones.isFull(zones.front(), now))
             m_queueZone = zones.front();
         nextStep();
     }
 
-    void decided(const slot_grant& given)
+    void onDecision(const slot_grant& given)
     {
-        if (m_owner->leaving(given.target)) {
+        if (m_owner->isDrainingOrRemoved(given.target)) {
             m_owner->released(
                 m_dispatcher, { m_group, { given.grantId, grant_outcome::refused, milliseconds { 0 }, 0 } });
-            m_askId = 0;
+            m_slotRequestId = 0;
             m_request.avoid = given.target;
             return nextStep();
         }
@@ -286,65 +294,66 @@
         found.zone = m_zone;
         found.waited = given.waited;
         if (m_bulk)
-            m_owner->withoutRoom.noteRoom(m_zone);
+            m_owner->fullZones.markAvailable(m_zone);
         ++m_owner->figures.grants;
         m_owner->figures.grantsInOtherZones += m_zone != m_owner->self.zone ? 1 : 0;
         finish(std::move(found));
     }
 
-    void decided(const slot_refusal& refused)
+    void onDecision(const slot_refusal& refused)
     {
-        m_askId = 0;
+        m_slotRequestId = 0;
         if (!m_bulk)
             logEvent(log_level::info, "no place",
                 { { "request_id", m_request.requestId }, { "group", m_group }, { "dispatcher", m_dispatcher },
                     { "customer", m_request.customer }, { "reason", refused.reason.message },
                     { "retry_after_ms", refused.reason.retryAfter.count() },
                     { "queued", std::int64_t { m_queued } } });
-        // A zone without a target that can be used is not worth waiting in: its word is asked for each time.
+        // A zone without a usable target is not marked as full, because items would then queue there. It is
+        // asked on each attempt instead.
         if (m_bulk && refused.reason.kind == failure_kind::overloaded)
-            m_owner->withoutRoom.noteFull(m_zone, std::chrono::steady_clock::now());
+            m_owner->fullZones.markFull(m_zone, std::chrono::steady_clock::now());
         m_refusal = refused.reason;
-        // The limit holds in all zones alike.
+        // The limit applies to all zones together.
         if (refused.reason.kind == failure_kind::limited)
             return finish(refused.reason);
         const auto wait = refused.reason.retryAfter;
-        if (m_queueZone.empty() || wait < m_shortestWait) {
+        if (m_queueZone.empty() || wait < m_shortestRetryDelay) {
             m_queueZone = m_zone;
-            m_shortestWait = wait;
+            m_shortestRetryDelay = wait;
         }
         nextStep();
     }
 
-    /// The ask is in the dispatcher's queue. A dispatcher that is frozen or cut off afterwards would never
-    /// refuse it.
+    /// The request is in the dispatcher's queue. A dispatcher that freezes or becomes unreachable afterwards
+    /// would never refuse it, so the timer is set to shortly after the deadline in the queue.
     void acknowledged()
     {
         if (m_dispatcher.empty())
             return;
-        m_timer.armAt(m_until.value_or(std::chrono::steady_clock::now()) + acknowledgementTimeout,
+        m_timer.armAt(m_queueDeadline.value_or(std::chrono::steady_clock::now()) + acknowledgementTimeout,
             [this, keep = weak_from_this()] {
                 if (keep.lock())
-                    silent();
+                    onAcknowledgementTimeout();
             });
     }
 
-    void dispatcherGone(const std::string& address)
+    void onDispatcherLost(const std::string& address)
     {
-        if (m_dispatcher == address && m_askId != 0)
+        if (m_dispatcher == address && m_slotRequestId != 0)
             nextDispatcher();
     }
 
     void withdraw()
     {
         m_finished = true;
-        forgetAsk(true);
+        closeRequest(true);
     }
 
 private:
     struct step {
         std::string zone;
-        std::optional<steady_time> until; ///< Nothing: at once or not at all.
+        std::optional<steady_time> queueDeadline; ///< Without a value: immediately or not at all.
     };
 
     void nextStep()
@@ -355,10 +364,10 @@
             m_steps.push_back({ m_queueZone, m_request.grantDeadline });
         }
         if (m_steps.empty())
-            return finish(m_refusal.value_or(
-                notRun(failure_kind::unavailable, "no dispatcher answers", milliseconds { 1000 })));
+            return finish(m_refusal.value_or(notRun(
+                failure_kind::unavailable, "no dispatcher of the service responded", milliseconds { 1000 })));
         m_zone = m_steps.front().zone;
-        m_until = m_steps.front().until;
+        m_queueDeadline = m_steps.front().queueDeadline;
         m_steps.pop_front();
         m_group = groupName(m_request.service, m_zone, 0);
         m_candidates = m_owner->candidates(m_group, now);
@@ -367,76 +376,76 @@
 
     void nextDispatcher()
     {
-        forgetAsk(false);
+        closeRequest(false);
         if (m_candidates.empty())
             return nextStep();
         m_dispatcher = m_candidates.front();
         m_candidates.pop_front();
         if (m_dispatcher == m_owner->self.address)
             m_dispatcher.clear();
-        ask();
+        sendRequest();
     }
 
-    void ask()
+    void sendRequest()
     {
-        m_askId = m_owner->nextAsk++;
-        m_owner->asks[m_askId] = weak_from_this();
+        m_slotRequestId = m_owner->nextRequestId++;
+        m_owner->pendingRequests[m_slotRequestId] = weak_from_this();
         ++m_owner->figures.asks;
-        slot_request wanted;
-        wanted.id = m_askId;
-        wanted.requestId = m_request.requestId;
-        wanted.customer = m_request.customer;
-        wanted.weight = m_request.weight;
-        wanted.begun = m_request.begun;
-        wanted.workClass = m_request.workClass;
-        wanted.cost = m_request.cost;
-        wanted.prefixes = m_request.prefixes;
-        wanted.avoid = m_request.avoid;
-        wanted.immediate = !m_until;
-        wanted.deadline = m_until.value_or(steady_time {});
-        wanted.hold = m_request.hold;
-        wanted.due = m_request.due;
+        slot_request slotRequest;
+        slotRequest.id = m_slotRequestId;
+        slotRequest.requestId = m_request.requestId;
+        slotRequest.customer = m_request.customer;
+        slotRequest.weight = m_request.weight;
+        slotRequest.begun = m_request.begun;
+        slotRequest.workClass = m_request.workClass;
+        slotRequest.cost = m_request.cost;
+        slotRequest.prefixes = m_request.prefixes;
+        slotRequest.avoid = m_request.avoid;
+        slotRequest.immediate = !m_queueDeadline;
+        slotRequest.deadline = m_queueDeadline.value_or(steady_time {});
+        slotRequest.hold = m_request.hold;
+        slotRequest.due = m_request.due;
         envelope message;
-        message.asks.push_back({ m_group, std::move(wanted) });
+        message.asks.push_back({ m_group, std::move(slotRequest) });
         if (m_dispatcher.empty())
             return m_owner->host.received(localSession, std::move(message), std::chrono::steady_clock::now());
         m_timer.arm(acknowledgementTimeout, [this, keep = weak_from_this()] {
             if (keep.lock())
-                silent();
+                onAcknowledgementTimeout();
         });
         m_owner->send(m_dispatcher, std::move(message));
     }
 
-    void silent()
+    void onAcknowledgementTimeout()
     {
         const auto now = std::chrono::steady_clock::now();
         ++m_owner->figures.unresponsiveDispatchers;
-        if (!m_owner->silent(m_dispatcher, now))
+        if (!m_owner->isUnresponsive(m_dispatcher, now))
             logEvent(log_level::warning, "dispatcher is silent",
                 { { "dispatcher", m_dispatcher }, { "group", m_group } });
-        m_owner->silentUntil[m_dispatcher] = now + silentFor;
-        // The ask may still be granted there: the grant is given back when it arrives.
+        m_owner->unresponsiveUntil[m_dispatcher] = now + unresponsivePeriod;
+        // The dispatcher may still grant the request; the grant is released when it arrives.
         nextDispatcher();
     }
 
-    void forgetAsk(bool withdrawIt)
+    void closeRequest(bool sendWithdrawal)
     {
         m_timer.cancel();
-        if (m_askId == 0)
+        if (m_slotRequestId == 0)
             return;
-        m_owner->asks.erase(m_askId);
-        m_owner->givenUp[m_askId] = m_group;
-        if (m_owner->givenUp.size() > mostGivenUp)
-            m_owner->givenUp.erase(m_owner->givenUp.begin());
-        if (withdrawIt) {
+        m_owner->pendingRequests.erase(m_slotRequestId);
+        m_owner->abandonedRequests[m_slotRequestId] = m_group;
+        if (m_owner->abandonedRequests.size() > maxAbandonedRequests)
+            m_owner->abandonedRequests.erase(m_owner->abandonedRequests.begin());
+        if (sendWithdrawal) {
             envelope message;
-            message.withdrawals.push_back({ m_group, m_askId });
+            message.withdrawals.push_back({ m_group, m_slotRequestId });
             if (m_dispatcher.empty())
                 m_owner->host.received(localSession, std::move(message), std::chrono::steady_clock::now());
             else
                 m_owner->send(m_dispatcher, std::move(message));
         }
-        m_askId = 0;
+        m_slotRequestId = 0;
     }
 
     void finish(result<held_slot> outcome)
@@ -444,9 +453,10 @@
         if (m_finished)
             return;
         m_finished = true;
-        forgetAsk(false);
+        closeRequest(false);
         m_owner->figures.refusals += outcome ? 0 : 1;
-        // Later, so that the caller of acquire() has its handle, and no decision runs inside another.
+        // Deferred, so that the caller of acquire() has received its handle and no decision runs inside
+        // another one.
         m_owner->loop.post([self = shared_from_this(), outcome = std::move(outcome)]() mutable {
             if (const auto done = std::exchange(self->m_done, nullptr))
                 done(std::move(outcome));
@@ -458,7 +468,7 @@
     }
 
 public:
-    /// The caller has dropped its handle: nothing is reported any more.
+    /// The caller has dropped its handle: withdraws the request, and reports nothing more.
     void abandon()
     {
         m_done = nullptr;
@@ -478,22 +488,22 @@
     std::string m_group;
     std::string m_dispatcher;
     std::string m_queueZone;
-    milliseconds m_shortestWait { 0 };
-    std::optional<steady_time> m_until;
-    std::uint64_t m_askId = 0;
+    milliseconds m_shortestRetryDelay { 0 };
+    std::optional<steady_time> m_queueDeadline;
+    std::uint64_t m_slotRequestId = 0;
     std::optional<failure> m_refusal;
     bool m_queued = false;
     bool m_finished = false;
 };
 
-void slot_broker::impl::answer(std::uint64_t session, envelope message)
+void slot_broker::impl::sendToSession(std::uint64_t session, envelope message)
 {
     if (session != localSession) {
         if (const auto found = sessions.find(session); found != sessions.end())
             found->second(std::move(message));
         return;
     }
-    // Not from within the group's own step.
+    // Deferred, so that the decision is not handled within the call that made it.
     loop.post([weak = weak_from_this(), message = std::move(message)]() mutable {
         if (const auto owner = weak.lock())
             owner->received("", std::move(message));
@@ -504,7 +514,7 @@
 {
     auto& found = links[address];
     if (!found.stream || !found.stream->alive()) {
-        found.generation = nextLink++;
+        found.generation = nextLinkGeneration++;
         const auto weak = weak_from_this();
         found.stream = client.open(
             address,
@@ -530,87 +540,88 @@
         return;
     links.erase(found);
     logEvent(log_level::warning, "dispatcher lost", { { "dispatcher", address } });
-    silentUntil[address] = std::chrono::steady_clock::now() + silentFor;
-    // Its successor does not know of the places that it gave: bulk work leaves them and asks anew.
+    unresponsiveUntil[address] = std::chrono::steady_clock::now() + unresponsivePeriod;
+    // The next dispatcher does not know of the slots that this one granted, so bulk work releases them and
+    // requests new ones.
     std::vector<revoked> lost;
-    for (const auto& [key, notify] : revocations) {
+    for (const auto& [key, notify] : revocationCallbacks) {
         if (std::get<0>(key) == address)
             lost.push_back(notify);
     }
     for (const auto& notify : lost)
         notify();
-    std::vector<ask_ptr> waiting;
-    for (const auto& [id, weak] : asks) {
+    std::vector<search_ptr> waiting;
+    for (const auto& [id, weak] : pendingRequests) {
         if (auto run = weak.lock())
             waiting.push_back(std::move(run));
     }
     for (const auto& run : waiting)
-        run->dispatcherGone(address);
+        run->onDispatcherLost(address);
 }
 
 void slot_broker::impl::received(const std::string& address, envelope message)
 {
     if (!address.empty())
-        silentUntil.erase(address);
-    hear(message.limits, [&](envelope out) { send(address, std::move(out)); });
-    const auto find = [this](std::uint64_t id) -> ask_ptr {
-        const auto found = asks.find(id);
-        return found == asks.end() ? nullptr : found->second.lock();
+        unresponsiveUntil.erase(address);
+    handleLimitMessages(message.limits, [&](envelope out) { send(address, std::move(out)); });
+    const auto find = [this](std::uint64_t id) -> search_ptr {
+        const auto found = pendingRequests.find(id);
+        return found == pendingRequests.end() ? nullptr : found->second.lock();
     };
     for (const auto& given : message.grants) {
         if (const auto run = find(given.slotRequestId))
-            run->decided(given);
-        else // Nobody waits for it any more: its ask was withdrawn, or given to another dispatcher.
-            returnStray(address, given);
+            run->onDecision(given);
+        else // The request was withdrawn, or was sent to another dispatcher since.
+            returnUnclaimedGrant(address, given);
     }
     for (const auto& refused : message.refusals) {
         if (const auto run = find(refused.slotRequestId))
-            run->decided(refused);
+            run->onDecision(refused);
     }
     for (const auto& acknowledged : message.moved) {
         if (const auto run = find(acknowledged.slotRequestId))
             run->acknowledged();
     }
     for (const auto& revoke : message.revokes) {
-        const auto found = revocations.find({ address, revoke.group, revoke.grantId });
-        if (found == revocations.end())
+        const auto found = revocationCallbacks.find({ address, revoke.group, revoke.grantId });
+        if (found == revocationCallbacks.end())
             continue;
         const auto notify = found->second;
         notify();
     }
 }
 
-void slot_broker::impl::hear(
-    const std::vector<limit_message>& messages, const std::function<void(envelope)>& answer)
+void slot_broker::impl::handleLimitMessages(
+    const std::vector<limit_message>& messages, const std::function<void(envelope)>& reply)
 {
     if (!limits)
         return;
     for (const auto& one : messages) {
-        auto wanted = limits->handleMessage(one, std::chrono::steady_clock::now());
-        if (!wanted)
+        auto response = limits->handleMessage(one, std::chrono::steady_clock::now());
+        if (!response)
             continue;
         envelope message;
-        message.limits.push_back(std::move(*wanted));
-        answer(std::move(message));
+        message.limits.push_back(std::move(*response));
+        reply(std::move(message));
     }
 }
 
-void slot_broker::impl::returnStray(const std::string& dispatcher, const slot_grant& given)
+void slot_broker::impl::returnUnclaimedGrant(const std::string& dispatcher, const slot_grant& given)
 {
-    const auto found = givenUp.find(given.slotRequestId);
-    if (found == givenUp.end())
-        return; // So old that the dispatcher will drop the grant by itself.
+    const auto found = abandonedRequests.find(given.slotRequestId);
+    if (found == abandonedRequests.end())
+        return; // Too old to be remembered; the dispatcher lets the grant expire.
     released(dispatcher, { found->second, { given.grantId, grant_outcome::unused, milliseconds { 0 }, 0 } });
 }
 
 void slot_broker::impl::released(const std::string& dispatcher, release_message message)
 {
-    revocations.erase({ dispatcher, message.group, message.release.grantId });
+    revocationCallbacks.erase({ dispatcher, message.group, message.release.grantId });
     envelope out;
     out.releases.push_back(std::move(message));
     if (dispatcher.empty())
         return host.received(localSession, std::move(out), std::chrono::steady_clock::now());
-    // Without the stream over which it was granted the dispatcher has dropped the grant already.
+    // If the stream that carried the grant is closed, the dispatcher has dropped the grant already.
     const auto found = links.find(dispatcher);
     if (found != links.end() && found->second.stream->alive())
         found->second.stream->send(std::move(out));
@@ -618,13 +629,13 @@
 
 namespace {
 
-template <typename Run> class ask_handle final : public slot_acquisition {
+template <typename Run> class search_handle final : public slot_acquisition {
 public:
-    explicit ask_handle(std::shared_ptr<Run> run)
+    explicit search_handle(std::shared_ptr<Run> run)
         : m_run(std::move(run))
     {
     }
-    ~ask_handle() override { m_run->abandon(); }
+    ~search_handle() override { m_run->abandon(); }
 
 private:
     std::shared_ptr<Run> m_run;
@@ -684,23 +695,23 @@
         if (after)
             m_impl->countTarget(*after);
         if (after)
-            m_impl->gone.remove(after->id);
+            m_impl->removedTargets.remove(after->id);
         else if (!released)
-            m_impl->gone.add(before->id);
+            m_impl->removedTargets.add(before->id);
     }
     m_impl->host.setTargets(targets, changes, now);
 }
 
 std::shared_ptr<slot_acquisition> slot_broker::acquire(slot_requirements request, granted done)
 {
-    const auto run = std::make_shared<impl::ask_run>(m_impl, std::move(request), std::move(done));
+    const auto run = std::make_shared<impl::slot_search>(m_impl, std::move(request), std::move(done));
     run->start();
-    return std::make_shared<ask_handle<impl::ask_run>>(run);
+    return std::make_shared<search_handle<impl::slot_search>>(run);
 }
 
 void slot_broker::onRevoked(const held_slot& taken, revoked notify)
 {
-    m_impl->revocations[{ taken.dispatcher, taken.group, taken.grantId }] = std::move(notify);
+    m_impl->revocationCallbacks[{ taken.dispatcher, taken.group, taken.grantId }] = std::move(notify);
 }
 
 void slot_broker::release(const held_slot& taken, grant_outcome outcome, milliseconds firstToken)
@@ -722,7 +733,8 @@
         const auto owner = weak.lock();
         if (!owner)
             return;
-        owner->hear(message.limits, [&](envelope out) { owner->answer(session, std::move(out)); });
+        owner->handleLimitMessages(
+            message.limits, [&](envelope out) { owner->sendToSession(session, std::move(out)); });
         owner->host.received(session, std::move(message), std::chrono::steady_clock::now());
     });
 }
--- a/libs/places/tests/test_places.cpp
+++ b/libs/places/tests/test_places.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One entry: its broker, served to its peers.
+/// An entry process: a slot broker that serves its peers over RPC.
 class entry final : public peer_handler {
 public:
     entry(event_loop& loop, std::string vm, std::string zone)
@@ -25,7 +25,7 @@
     }
     void sessionReceived(std::uint64_t session, envelope message) override
     {
-        if (!silent)
+        if (!unresponsive)
             broker.sessionReceived(session, std::move(message));
     }
     void sessionClosed(std::uint64_t session) override { broker.sessionClosed(session); }
@@ -40,7 +40,7 @@
     whole_list listed;
     rpc_client client { {} };
     slot_broker broker;
-    std::atomic<bool> silent { false };
+    std::atomic<bool> unresponsive { false };
     rpc_server server;
 };
 
@@ -55,22 +55,22 @@
         }
     }
 
-    std::shared_ptr<slot_acquisition> ask(
-        entry& from, work_class workClass = work_class::live, int latestMs = 300)
+    std::shared_ptr<slot_acquisition> acquire(
+        entry& from, work_class workClass = work_class::live, int deadlineMs = 300)
     {
         slot_requirements request;
         request.service = "llm";
         request.customer = "c";
         request.workClass = workClass;
         request.hold = milliseconds { 5000 };
-        request.grantDeadline = std::chrono::steady_clock::now() + milliseconds { latestMs };
+        request.grantDeadline = std::chrono::steady_clock::now() + milliseconds { deadlineMs };
         const auto number = outcomes.size();
         outcomes.emplace_back();
         return from.broker.acquire(
             request, [this, number](result<held_slot> found) { outcomes[number].emplace(std::move(found)); });
     }
-    /// For the whole time. A loop without anything to do returns at once, though messages of peers and ends
-    /// of links are still on their way in the transport's threads.
+    /// Runs the loop for the whole time. A loop without pending work would return at once, although messages
+    /// of peers and closed streams may still be in transit in the transport's threads.
     void run(int ms = 60)
     {
         loop_timer end(loop);
@@ -91,19 +91,20 @@
 
 } // namespace
 
-TEST_CASE("the own zone's free places come first, then other zones', then the queue")
+TEST_CASE(
+    "free slots of the own zone are granted first, then those of other zones, then queued requests wait")
 {
     fixture f;
-    std::vector<std::shared_ptr<slot_acquisition>> asks;
+    std::vector<std::shared_ptr<slot_acquisition>> acquisitions;
     for (int i = 0; i < 4; ++i) {
-        asks.push_back(f.ask(f.a));
+        acquisitions.push_back(f.acquire(f.a));
         f.run();
     }
     CHECK(f.target(0) == "ta");
     CHECK(f.target(1) == "ta");
     CHECK(f.target(2) == "tb");
     CHECK(f.target(3) == "tb");
-    asks.push_back(f.ask(f.a, work_class::live, 1000));
+    acquisitions.push_back(f.acquire(f.a, work_class::live, 1000));
     f.run();
     CHECK(!f.outcomes[4]);
     f.a.broker.release(f.outcomes[0]->value(), grant_outcome::ok, milliseconds { 1 });
@@ -112,15 +113,15 @@
     CHECK(!f.target(4).empty());
 }
 
-TEST_CASE("a withdrawn ask takes no place")
+TEST_CASE("a withdrawn request is granted no slot")
 {
     fixture f;
-    auto first = f.ask(f.a);
-    auto second = f.ask(f.a);
-    auto third = f.ask(f.a);
-    auto fourth = f.ask(f.a);
+    auto first = f.acquire(f.a);
+    auto second = f.acquire(f.a);
+    auto third = f.acquire(f.a);
+    auto fourth = f.acquire(f.a);
     f.run();
-    auto waiting = f.ask(f.a, work_class::live, 1000);
+    auto waiting = f.acquire(f.a, work_class::live, 1000);
     f.run(20);
     waiting.reset();
     f.run(20);
@@ -129,72 +130,72 @@
             f.outcomes[static_cast<std::size_t>(i)]->value(), grant_outcome::ok, milliseconds { 1 });
     f.run();
     CHECK(!f.outcomes[4]);
-    auto again = f.ask(f.a);
+    auto again = f.acquire(f.a);
     f.run();
     CHECK(f.target(5) == "ta");
 }
 
-// Story: the entry that is dispatcher of another zone's targets is frozen; callers waited for it.
-TEST_CASE("a silent dispatcher is left after a moment")
+// Guards against callers that wait for a frozen dispatcher of another zone.
+TEST_CASE("an unresponsive dispatcher is skipped after a timeout")
 {
     fixture f;
-    auto first = f.ask(f.a);
-    auto second = f.ask(f.a);
+    auto first = f.acquire(f.a);
+    auto second = f.acquire(f.a);
     f.run();
-    f.b.silent = true;
-    auto third = f.ask(f.a);
+    f.b.unresponsive = true;
+    auto third = f.acquire(f.a);
     f.run(120);
     // The other entry takes over as dispatcher of that zone.
     CHECK(f.target(2) == "tb");
     CHECK(f.a.broker.figures().unresponsiveDispatchers == 1);
 }
 
-// Story: a dispatcher takes an ask into its queue and is frozen then; its caller waited until its own
-// deadline, though places were free elsewhere.
-TEST_CASE("an ask in the queue of a dispatcher that falls silent is not forgotten")
+// Guards against a request that is lost in the queue of a dispatcher which freezes after acknowledging it:
+// the caller waited until its own deadline, although slots were free elsewhere.
+TEST_CASE("a request queued at a dispatcher that stops responding is still decided")
 {
     fixture f;
-    std::vector<std::shared_ptr<slot_acquisition>> asks;
+    std::vector<std::shared_ptr<slot_acquisition>> acquisitions;
     for (int i = 0; i < 4; ++i) {
-        asks.push_back(f.ask(f.b));
+        acquisitions.push_back(f.acquire(f.b));
         f.run();
     }
-    asks.push_back(f.ask(f.b, work_class::live, 150));
+    acquisitions.push_back(f.acquire(f.b, work_class::live, 150));
     f.run(40);
-    f.a.silent = true;
-    f.b.silent = true;
+    f.a.unresponsive = true;
+    f.b.unresponsive = true;
     f.run(400);
     REQUIRE(f.outcomes[4]);
     CHECK(!*f.outcomes[4]);
 }
 
-TEST_CASE("a bulk place is asked back when live requests need it")
+TEST_CASE("a bulk slot is revoked when live requests need it")
 {
     fixture f;
     f.targets.erase("tb");
     f.targets.at("ta").slots = 8;
     for (auto* one : { &f.a, &f.b })
         one->setTargets(f.targets);
-    auto bulk = f.ask(f.b, work_class::bulk);
+    auto bulk = f.acquire(f.b, work_class::bulk);
     f.run();
     REQUIRE(f.target(0) == "ta");
     bool revoked = false;
     f.b.broker.onRevoked(f.outcomes[0]->value(), [&] { revoked = true; });
     std::vector<std::shared_ptr<slot_acquisition>> live;
     for (int i = 0; i < 7; ++i)
-        live.push_back(f.ask(f.a));
+        live.push_back(f.acquire(f.a));
     f.run();
     CHECK(f.target(7) == "ta");
     CHECK(!revoked);
-    live.push_back(f.ask(f.a));
+    live.push_back(f.acquire(f.a));
     f.run();
     CHECK(f.target(8) == "ta");
     CHECK(revoked);
 }
 
-// Story: a dispatcher that the store turns away does not know that a target has left; others send their work
-// there on its word, though they know it, and it is cut off when the target goes.
-TEST_CASE("a place at a target that is known to leave is not taken")
+// A dispatcher that cannot reach the store does not know that a target is draining and still grants slots
+// there. Guards against processes that know it but use the slot: their work is aborted when the target stops.
+TEST_CASE("a slot at a target that is known to drain is not used")
 {
     fixture f;
     auto here = f.targets;
@@ -202,28 +203,28 @@
     here.at("ta").draining = true;
     here["tc"] = { "tc", "llm", "tc:1", "a", 2, false };
     f.a.setTargets(here);
-    f.a.broker.setDispatchers({ f.b.self }); // Which still believes in both.
-    auto ask = f.ask(f.a, work_class::live, 100);
+    f.a.broker.setDispatchers({ f.b.self }); // Process b does not know of the changes yet.
+    auto acquisition = f.acquire(f.a, work_class::live, 100);
     f.run(200);
     CHECK(f.target(0).empty());
     f.b.setTargets(here);
-    auto again = f.ask(f.a);
+    auto again = f.acquire(f.a);
     f.run();
     CHECK(f.target(1) == "tc");
 }
 
-// Story: after a restart of all processes some take one entry for the dispatcher of a zone, some another. The
-// one fills the slots with bulk work; the other, which gets the live requests, finds every target full for
-// seconds.
-TEST_CASE("only the first dispatcher gives places to bulk work, and a former one asks them back")
+// After a restart of all processes, some take one entry for the primary dispatcher of a zone and some
+// another. If one of the two fills the slots with bulk work, the other one, which gets the live requests,
+// finds every target full for seconds.
+TEST_CASE("only the primary dispatcher grants slots to bulk work, and a former primary revokes them")
 {
     fixture f;
     f.targets.erase("tb");
     for (auto* one : { &f.a, &f.b })
         one->setTargets(f.targets);
-    f.a.broker.setDispatchers({ f.b.self }); // Does not know itself yet.
+    f.a.broker.setDispatchers({ f.b.self }); // Process a does not list itself yet.
     f.b.broker.setDispatchers({ f.b.self });
-    auto bulk = f.ask(f.a, work_class::bulk);
+    auto bulk = f.acquire(f.a, work_class::bulk);
     f.run();
     REQUIRE(f.target(0) == "ta");
     bool revoked = false;
@@ -232,15 +233,15 @@
         one->broker.setDispatchers({ f.a.self, f.b.self });
     f.run();
     CHECK(revoked);
-    auto again = f.ask(f.b, work_class::bulk, 100);
+    auto again = f.acquire(f.b, work_class::bulk, 100);
     f.run();
     REQUIRE(f.target(1) == "ta");
     CHECK(f.outcomes[1]->value().dispatcher == f.a.self.address);
 }
 
-// Story: a dispatcher is killed; its successor does not know of the bulk work on the targets and sends live
-// requests to full ones.
-TEST_CASE("bulk work leaves the places of a dispatcher that was lost")
+// When a dispatcher is killed, its successor does not know of the bulk work at the targets, and grants live
+// requests slots that are in use.
+TEST_CASE("bulk work releases the slots of a lost dispatcher")
 {
     fixture f;
     f.targets.erase("tb");
@@ -249,7 +250,7 @@
     c->setTargets(f.targets);
     f.b.setTargets(f.targets);
     f.b.broker.setDispatchers({ c->self });
-    auto bulk = f.ask(f.b, work_class::bulk);
+    auto bulk = f.acquire(f.b, work_class::bulk);
     f.run();
     REQUIRE(f.target(0) == "ta");
     bool revoked = false;
@@ -259,7 +260,7 @@
     CHECK(revoked);
 }
 
-TEST_CASE("dispatchers of a zone come first, in an order that all processes agree on")
+TEST_CASE("dispatchers of the zone rank first, in the same order in all processes")
 {
     const std::vector<dispatcher_info> some { { "x", "a", "1" }, { "y", "b", "2" }, { "z", "b", "3" } };
     const std::vector<dispatcher_info> others { some[2], some[0], some[1] };
@@ -268,10 +269,9 @@
     CHECK(ranked[0].vm == rankDispatchers("llm/b/0", "b", others)[0].vm);
 }
 
-// Story: in a zone of two large and fifteen small VMs the dispatcher was on a small one. It had not enough
-// processor time for a peak: each request waited for its place for longer than it may, while targets were
-// idle.
-TEST_CASE("a small VM is dispatcher only where no larger one is there")
+// In a zone of two large and fifteen small VMs the dispatcher was on a small one, which lacked the processor
+// time for a load peak: requests waited for a slot beyond their deadline while targets were idle.
+TEST_CASE("a small VM is dispatcher only if its zone has no larger VM")
 {
     std::vector<dispatcher_info> all;
     for (int i = 0; i < 15; ++i)
@@ -290,16 +290,16 @@
 
 namespace {
 
-/// Processor time of this thread.
-double processorMs()
+/// CPU time of this thread.
+double threadCpuMs()
 {
     timespec time {};
     ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
     return 1000.0 * static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) / 1e6;
 }
 
-/// What 1,000 asks cost the entry that is dispatcher of their zone, in a fleet of so many entries.
-double costOfAsks(std::size_t entries)
+/// CPU time that 1,000 slot acquisitions cost the dispatcher of their zone, in a fleet of `entries` entries.
+double cpuMsForAcquisitions(std::size_t entries)
 {
     event_loop loop;
     rpc_client client { {} };
@@ -316,52 +316,54 @@
     const auto now = std::chrono::steady_clock::now();
     const auto changes = listed.changesTo(targets, now);
     broker.setTargets(listed.directory(), changes, now);
-    const double begin = processorMs();
+    const double begin = threadCpuMs();
     for (int i = 0; i < 1000; ++i) {
         slot_requirements request;
         request.service = "llm";
         request.grantDeadline = std::chrono::steady_clock::now() + milliseconds { 300 };
         std::optional<result<held_slot>> outcome;
-        const auto ask
+        const auto acquisition
             = broker.acquire(request, [&](result<held_slot> found) { outcome.emplace(std::move(found)); });
         while (!outcome)
             loop.runFor(milliseconds { 1 });
         REQUIRE(*outcome);
         broker.release(outcome->value(), grant_outcome::ok, milliseconds { 1 });
     }
-    return processorMs() - begin;
+    return threadCpuMs() - begin;
 }
 
 } // namespace
 
-// Story: in a fleet of 300 VMs the dispatchers, on VMs of half a core, answered asks so late at each live
-// peak that others took them for dead. Each ask sorted the whole list of entries anew, twice. Before, 1,000
-// asks took 38 ms among six entries and 209 ms among 300; now 32 ms and 32 ms (means of three runs).
-TEST_CASE("an ask costs the same in a large fleet")
+// In a fleet of 300 VMs, dispatchers on VMs of half a core answered so late at each live load peak that other
+// processes took them for dead, because each slot request sorted the whole list of entries twice. With that,
+// 1,000 requests took 38 ms among six entries and 209 ms among 300; without, 32 ms in both cases (means of
+// three runs).
+TEST_CASE("a slot request costs the same in a large fleet")
 {
-    costOfAsks(6); // What is set up once.
-    const double small = costOfAsks(6);
-    CHECK(costOfAsks(300) < 3 * small);
+    cpuMsForAcquisitions(6); // Warm-up: excludes one-time initialisation.
+    const double small = cpuMsForAcquisitions(6);
+    CHECK(cpuMsForAcquisitions(300) < 3 * small);
 }
 
-// Story: while a live peak lasts, all items wait. Each of 1,000 asked each of five zones again every 400 ms,
-// and the dispatchers answered refusals instead of live requests.
-TEST_CASE("a zone that has just refused an item is not asked at once for the next one")
+// During a live load peak all items wait. When 1,000 items each tried five zones every 400 ms, the
+// dispatchers were busy refusing items instead of serving live requests.
+TEST_CASE("a zone that has just refused an item is skipped by the next ones")
 {
     fixture f;
-    std::vector<std::shared_ptr<slot_acquisition>> asks;
+    std::vector<std::shared_ptr<slot_acquisition>> acquisitions;
     for (int i = 0; i < 4; ++i) {
-        asks.push_back(f.ask(f.a));
+        acquisitions.push_back(f.acquire(f.a));
         f.run(10);
     }
-    asks.push_back(f.ask(f.a, work_class::bulk));
+    acquisitions.push_back(f.acquire(f.a, work_class::bulk));
     f.run(20);
     const auto before = f.a.broker.figures().asks;
     for (int i = 0; i < 10; ++i)
-        asks.push_back(f.ask(f.a, work_class::bulk));
+        acquisitions.push_back(f.acquire(f.a, work_class::bulk));
     f.run(20);
-    CHECK(f.a.broker.figures().asks == before + 10); // Each waits in the queue of the own zone.
-    // They are found by the first slot that comes free there, and somebody looks for one elsewhere again.
+    CHECK(f.a.broker.figures().asks == before + 10); // Each waits in the queue of its own zone.
+    // The first slot that becomes free there is granted to one of them, and items try other zones again
+    // later.
     f.a.broker.release(f.outcomes[0]->value(), grant_outcome::ok, milliseconds { 1 });
     f.run(20);
     const auto granted = std::count_if(
@@ -369,33 +371,33 @@
     CHECK(granted == 1);
     f.a.broker.release(f.outcomes[2]->value(), grant_outcome::ok, milliseconds { 1 });
     f.run(200);
-    asks.push_back(f.ask(f.a, work_class::bulk));
+    acquisitions.push_back(f.acquire(f.a, work_class::bulk));
     f.run(20);
     CHECK(f.target(f.outcomes.size() - 1) == "tb");
 }
 
-TEST_CASE("a zone without room is remembered for a moment, or until it has some")
+TEST_CASE("a full zone is remembered for a limited time, or until it grants a slot")
 {
-    full_zones zones;
+    full_zone_cache zones;
     const steady_time now { milliseconds { 5000 } };
-    zones.noteFull("a", now);
-    CHECK(zones.full("a", now + milliseconds { 100 }));
-    CHECK(!zones.full("b", now));
-    CHECK(!zones.full("a", now + milliseconds { 200 }));
-    zones.noteFull("a", now);
-    zones.noteRoom("a");
-    CHECK(!zones.full("a", now));
+    zones.markFull("a", now);
+    CHECK(zones.isFull("a", now + milliseconds { 100 }));
+    CHECK(!zones.isFull("b", now));
+    CHECK(!zones.isFull("a", now + milliseconds { 200 }));
+    zones.markFull("a", now);
+    zones.markAvailable("a");
+    CHECK(!zones.isFull("a", now));
 }
 
-// Story: 250 processes woke up a hundred times a second each, to look after groups that they do not have.
-TEST_CASE("a process that is dispatcher of nothing does not wake up for it")
+// Guards against 250 processes that woke up a hundred times a second each for groups that they do not host.
+TEST_CASE("a process without groups has no periodic wake-ups")
 {
     event_loop loop;
     group_host host(
         loop, [](std::uint64_t, envelope) {}, [](const std::string&) { return true; }, nullptr,
         defaultGroupOptions());
     CHECK(!loop.runFor(milliseconds { 50 }));
-    // With work it does, until that has been over for a moment.
+    // With work, the tick is armed until the group has been idle for a short time.
     envelope message;
     message.asks.push_back({ groupName("s", "z", 0), {} });
     host.received(1, std::move(message), std::chrono::steady_clock::now());
