--- a/libs/guard/include/guard/guard.h
+++ b/libs/guard/include/guard/guard.h
@@ -20,150 +20,160 @@
 #include <string_view>
 #include <vector>
 
-/// Keeps requests that end their targets away from these. Layer: processes.
+/// Protects targets from requests that crash them (queries of death). Layer: processes.
 namespace yuccachute {
 
 /// A target that ran a request.
-struct run_target {
+struct executing_target {
     std::string id;
     std::string address; ///< host:port.
 };
 
-/// Finds out whether a target that broke off an answer has ended. On the loop's thread.
+/// Determines whether a target that aborted a response has terminated. All calls are made on the event loop's
+/// thread.
 ///
-/// A broken connection proves nothing: some targets break off answers and live on, links fail, and a target
-/// that is being stopped may end in the middle of its work. One that refuses connections just afterwards, or
-/// is listed as another start at the same address, has ended.
-class end_check {
+/// A broken connection proves nothing: some targets abort responses and keep running, links fail, and a
+/// target that is being stopped may terminate in the middle of its work. A target has terminated if it
+/// refuses connections just afterwards, or if a target with another id is listed at its address, which is a
+/// later start of it.
+class termination_check {
 public:
-    using callback = std::function<void(bool ended)>;
+    using callback = std::function<void(bool terminated)>;
 
-    end_check(event_loop& loop, load_report_source& loads);
+    termination_check(event_loop& loop, load_report_source& loads);
 
-    /// The directory has to outlive this object.
+    /// `targets` must outlive this object.
     void setTargets(const target_directory& targets, std::span<const target_change> changes, steady_time now);
-    /// Of a target that broke off an answer. Exactly one answer comes, later: within a fraction of a second,
-    /// or, if the target does not answer at all, when the list of targets tells, or does not within seconds.
-    void examine(const run_target& target, callback done);
-    /// Of a target that fell silent, which is no sign of its end: only the list is waited for. Targets are
-    /// silent under load by the hundred, and each question to them is a call more.
-    void awaitRestart(const run_target& target, callback done);
+    /// Checks a target that aborted a response. `done` is called exactly once, asynchronously: within a
+    /// fraction of a second, or, if the target does not respond at all, when the target list shows a restart
+    /// or has shown none for several seconds.
+    void examine(const executing_target& target, callback done);
+    /// Checks a target that stopped responding, which is no evidence of termination: this only waits for the
+    /// target list. Under load, targets stop responding by the hundred, and each probe would be one more call
+    /// to them.
+    void awaitRestart(const executing_target& target, callback done);
 
 private:
-    struct examination {
+    struct pending_check {
         std::string target;
         std::string address;
-        steady_time until; ///< When the list has had its time to tell.
-        std::vector<callback> waiting;
-        bool asking = false; ///< A question to the target is under way.
-        bool compared = false; ///< With the whole list; from then on changes tell.
+        steady_time until; ///< When to stop waiting for the target list.
+        std::vector<callback> callbacks;
+        bool probing = false; ///< A load report has been requested from the target.
+        bool comparedWithFullList = false; ///< Afterwards only changes of the list matter.
     };
-    using examination_list = std::list<examination>;
+    using pending_check_list = std::list<pending_check>;
 
-    /// The examination of a target, with one more that waits for it; null if nothing can be concluded.
-    examination* begin(const run_target& target, callback done);
-    void ask(examination& one);
+    /// Adds `done` to the pending check of a target, which is created if there is none. Returns null if
+    /// nothing can be concluded about the target.
+    pending_check* begin(const executing_target& target, callback done);
+    void probe(pending_check& one);
     void answered(const std::string& target, const result<load_report>& report);
-    void finish(examination_list::iterator one, bool ended);
-    bool restarted(examination& one, std::span<const target_change> changes) const;
+    void finish(pending_check_list::iterator one, bool terminated);
+    bool hasRestarted(pending_check& one, std::span<const target_change> changes) const;
     void expire(steady_time now);
 
     event_loop& m_loop;
     load_report_source& m_loads;
     const target_directory* m_targets = nullptr;
-    examination_list m_examinations;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< Answers may come after the end.
+    pending_check_list m_pendingChecks;
+    std::shared_ptr<bool> m_alive
+        = std::make_shared<bool>(true); ///< Load reports may arrive after the destructor.
 };
 
-/// What a process knows of requests that end their targets, and what it does about it. On the loop's thread.
+/// Records which requests crash their targets, and decides which of them may run. All calls are made on the
+/// event loop's thread.
 ///
-/// Such a request ends one target after the other, each with all that it answers, and its caller sends it
-/// again at any entry, under another id: callers of the whole fleet lose their answers for as long as it
-/// comes. So a request is known by what it asks for, and what is known of it outlives the attempt, and
-/// through suspect_replicator and suspect_archive the process.
+/// Such a request crashes one target after the other, each together with all requests that it is serving, and
+/// its caller sends it again to any entry under another request id: callers of the whole fleet lose their
+/// responses for as long as it is repeated. Therefore a request is identified by its content, and its record
+/// outlives the attempt and, through suspect_replicator and suspect_archive, the process.
 class request_guard {
 public:
-    /// Told of each change that this process has seen itself.
-    using listener = std::function<void(const suspect_report& news)>;
+    /// Called for each change that this process has observed itself.
+    using listener = std::function<void(const suspect_report& change)>;
 
-    /// A run of a suspected request. While it lasts the process sends no other one.
+    /// A run of a suspected request. While it lasts, this process starts no other run of the same request.
     class trial {
     public:
         virtual ~trial() = default;
     };
     struct admission {
         std::optional<failure> refusal;
-        std::shared_ptr<trial>
-            runningTrial; ///< To be kept until the request's end; null if it is not suspected.
+        /// To be kept until the request has finished; null if it is not suspected.
+        std::shared_ptr<trial> runningTrial;
     };
 
-    request_guard(event_loop& loop, load_report_source& loads, metrics& figures);
+    request_guard(event_loop& loop, load_report_source& loads, metrics& processMetrics);
 
-    void onNews(listener told) { m_told = std::move(told); }
+    void onChange(listener notify) { m_listener = std::move(notify); }
     void setTargets(const target_directory& targets, std::span<const target_change> changes, steady_time now)
     {
-        m_ends.setTargets(targets, changes, now);
+        m_terminationCheck.setTargets(targets, changes, now);
     }
 
-    /// Whether anything is known against any request. If not, nobody needs a request's identity.
-    bool hasSuspects() const { return !m_known.empty(); }
+    /// Whether there is a record of any request. If not, the identities of requests are not needed.
+    bool hasSuspects() const { return !m_suspects.empty(); }
     admission admit(const request_identity& identity);
-    /// Whether a request that has failed is better not tried again at once.
+    /// Whether a request should not be retried at once after a failure.
     bool isSuspected(const request_identity& identity) const;
-    strike_record record(const request_identity& identity) const { return m_known.record(identity); }
-    const quarantine& known() const { return m_known; }
-
-    /// A target broke off the answer to a request. `settled` is called, later, once it is known whether it
-    /// has ended; it may be null.
-    void aborted(const request_identity& identity, const strike_record& whenSent, const run_target& target,
-        std::function<void()> settled);
-    /// A target fell silent in the middle of a request.
-    void targetUnresponsive(
-        const request_identity& identity, const strike_record& whenSent, const run_target& target);
-    /// A target has answered the request in full.
+    strike_record record(const request_identity& identity) const { return m_suspects.record(identity); }
+    const quarantine& known() const { return m_suspects; }
+
+    /// A target aborted the response to a request. `settled` is called, asynchronously, once it is known
+    /// whether the target has terminated; it may be null.
+    void aborted(const request_identity& identity, const strike_record& recordWhenSent,
+        const executing_target& target, std::function<void()> settled);
+    /// A target stopped responding in the middle of a request.
+    void targetUnresponsive(const request_identity& identity, const strike_record& recordWhenSent,
+        const executing_target& target);
+    /// A target has sent a complete response to the request.
     void answered(const request_identity& identity);
-    /// What other processes know. Returns whether any of it was news.
+    /// Merges the records of other processes. Returns whether any of them changed what this process knows.
     bool merge(std::span<const suspect_report> reports);
-    void expire(steady_time now) { m_known.expire(now); }
+    void expire(steady_time now) { m_suspects.expire(now); }
 
 private:
     class running_trial;
 
     void targetTerminated(
-        const request_identity& identity, const strike_record& whenSent, const std::string& target);
-    void tell(const request_identity& identity);
+        const request_identity& identity, const strike_record& recordWhenSent, const std::string& target);
+    void notifyListener(const request_identity& identity);
 
-    metrics& m_figures;
-    end_check m_ends;
-    quarantine m_known;
+    metrics& m_metrics;
+    termination_check m_terminationCheck;
+    quarantine m_suspects;
     std::shared_ptr<std::set<request_identity>> m_trials = std::make_shared<std::set<request_identity>>();
-    listener m_told;
+    listener m_listener;
 };
 
-/// Tells other processes what is known, and hears it from them, with the questions that processes ask each
-/// other anyway: each carries a digest of what the asker knows. What this process has seen itself is told at
-/// once to the entries that it knows of, so that a request that comes again to another entry a fifth of a
-/// second later finds itself known. On the loop's thread but where it is said.
+/// Replicates the records of requests between the processes. The sync requests that processes send to each
+/// other anyway carry a digest of the sender's records, and differences are transferred with the answer. A
+/// change that this process observes is sent at once to the entries that it knows, so that a request that is
+/// sent again to another entry a fifth of a second later is recognised there. All calls are made on the event
+/// loop's thread unless stated otherwise.
 class suspect_replicator final : public peer_sync {
 public:
-    /// Addresses of the processes that are told of news.
+    /// Returns the addresses of the processes that changes are sent to.
     using address_source = std::function<std::vector<std::string>()>;
 
     suspect_replicator(event_loop& loop, peer_sync& peers, request_guard& guard, address_source addresses);
 
-    /// Asks as the underlying peer_sync does, and takes what the answer tells of suspects.
+    /// Sends the question through the underlying peer_sync, and merges the suspect reports of the answer.
     void sync(std::string_view address, const sync_question& question, milliseconds timeout,
         std::function<void(result<sync_answer>)> done) override;
-    /// Adds to the answer what the asker does not know, and takes its news. From any thread.
+    /// Adds the reports that the sender of the question lacks to the answer, and merges those of the
+    /// question. Thread-safe.
     void answer(const sync_question& question, sync_answer& answer);
-    /// What this process has seen.
-    void tell(const suspect_report& news);
-    /// The guard has learnt from elsewhere: peers that ask are told.
+    /// Sends a change that this process has observed to the other processes.
+    void broadcast(const suspect_report& change);
+    /// Updates the snapshot that peers are answered from, after the guard has merged records from other
+    /// processes.
     void publishSnapshot();
 
 private:
-    void take(const std::vector<suspect_report>& reports);
-    void compare(const std::string& address, std::uint64_t digest);
+    void mergeReports(const std::vector<suspect_report>& reports);
+    void sendAllIfDigestDiffers(const std::string& address, std::uint64_t digest);
     void flush();
     void send(const std::string& address, std::vector<suspect_report> reports);
     void tick();
@@ -171,7 +181,7 @@
     struct snapshot {
         std::vector<suspect_report> reports;
         std::uint64_t digest = 0;
-        steady_time made;
+        steady_time takenAt;
     };
     snapshot published() const;
 
@@ -179,54 +189,55 @@
     peer_sync& m_peers;
     request_guard& m_guard;
     address_source m_addresses;
-    std::map<request_identity, suspect_report> m_news; ///< To be told.
-    std::map<std::string, steady_time> m_toldAll; ///< When a peer was last told everything.
+    std::map<request_identity, suspect_report> m_pendingReports; ///< To be sent.
+    std::map<std::string, steady_time> m_lastFullSync; ///< When all reports were last sent to a peer.
     loop_timer m_flush;
     loop_ticker m_ticker;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
-    mutable std::mutex m_mutex; ///< Peers ask from the transport's threads.
-    snapshot m_published;
+    mutable std::mutex m_mutex; ///< For m_snapshot, which the transport's threads read.
+    snapshot m_snapshot;
 };
 
-/// Keeps what is known in the platform's store, for processes that start when no other one is left to ask.
-/// Requests of one strike are not written: most of them are victims of a target's end, and proved so within a
-/// second. On the loop's thread.
+/// Persists the records of requests in the platform's store, for processes that start when no other process
+/// is left to sync with. Requests with one strike are not written: most of them only ran on a target that
+/// terminated for another reason, and are acquitted within a second. All calls are made on the event loop's
+/// thread.
 class suspect_archive {
 public:
     suspect_archive(event_loop& loop, async_store& store, request_guard& guard);
 
-    /// Reads what is kept, and tries again until the store answers.
+    /// Loads the stored records, and retries until the store responds.
     void load(std::function<void()> loaded = [] {});
-    void save(const suspect_report& news);
+    void save(const suspect_report& change);
 
 private:
-    struct kept_record {
+    struct stored_record {
         strike_record record;
-        std::int64_t revision = 0; ///< Of its key.
+        std::int64_t revision = 0; ///< Modification revision of its key.
     };
 
-    void take(std::span<const stored_value> values);
-    void writeSoon(milliseconds pause);
+    void mergeStored(std::span<const stored_value> values);
+    void scheduleWrite(milliseconds pause);
     void write();
-    void writeUnder(std::int64_t lease);
+    void writeWithLease(std::int64_t lease);
     store_condition conditionOf(const request_identity& identity) const;
-    void written(const std::vector<suspect_report>& reports, const result<commit_outcome>& outcome);
+    void onWritten(const std::vector<suspect_report>& reports, const result<commit_outcome>& outcome);
 
     event_loop& m_loop;
     async_store& m_store;
     request_guard& m_guard;
     loop_timer m_loadTimer;
     loop_timer m_writeTimer;
-    std::map<request_identity, kept_record> m_kept; ///< As last seen in the store.
+    std::map<request_identity, stored_record> m_stored; ///< As last seen in the store.
     std::set<request_identity> m_unsaved;
     bool m_writing = false;
     std::int64_t m_lease = 0;
-    steady_time m_leaseSince;
+    steady_time m_leaseGrantedAt;
 };
 
-/// A guard that shares what it knows with the fleet. Its parts are to be used directly.
+/// A request guard with replicated and persisted records. The members are to be used directly.
 struct shared_guard {
-    shared_guard(event_loop& loop, load_report_source& loads, metrics& figures, peer_sync& peers,
+    shared_guard(event_loop& loop, load_report_source& loads, metrics& processMetrics, peer_sync& peers,
         async_store& store, suspect_replicator::address_source addresses);
 
     request_guard guard;
@@ -234,9 +245,10 @@
     suspect_archive archive;
 };
 
-/// What the store holds of one suspect.
+/// The document that the store holds for a suspected request.
 std::string encodeSuspect(const suspect_report& report, std::int64_t wallClockMs);
-/// The failure names the field that is wrong. An age that clocks make impossible is cut to what is possible.
+/// Decodes a document of the store. The failure names the invalid field. An age that is impossible because
+/// clocks differ is clamped to the possible range.
 result<suspect_report> decodeSuspect(
     std::string_view key, std::string_view document, std::int64_t wallClockMs);
 
--- a/libs/guard/src/request_guard.cpp
+++ b/libs/guard/src/request_guard.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A run lasts a second or so.
-constexpr milliseconds trialRetry { 1000 };
+/// About the duration of a run.
+constexpr milliseconds trialRetryDelay { 1000 };
 
 } // namespace
 
@@ -26,96 +26,99 @@
     request_identity m_identity;
 };
 
-request_guard::request_guard(event_loop& loop, load_report_source& loads, metrics& figures)
-    : m_figures(figures)
-    , m_ends(loop, loads)
+request_guard::request_guard(event_loop& loop, load_report_source& loads, metrics& processMetrics)
+    : m_metrics(processMetrics)
+    , m_terminationCheck(loop, loads)
 {
 }
 
 request_guard::admission request_guard::admit(const request_identity& identity)
 {
     const auto now = std::chrono::steady_clock::now();
-    switch (m_known.statusOf(identity, now)) {
+    switch (m_suspects.statusOf(identity, now)) {
     case quarantine::status::clear:
         return {};
     case quarantine::status::refused:
         return { notRun(failure_kind::limited, "this request has ended the targets that ran it",
-                     m_known.remainingRefusalTime(identity, now)),
+                     m_suspects.remainingRefusalTime(identity, now)),
             nullptr };
     case quarantine::status::suspect:
         break;
     }
     if (m_trials->contains(identity))
-        return { notRun(failure_kind::unavailable, "this request is being tried already", trialRetry),
+        return { notRun(failure_kind::unavailable,
+                     "the request is suspected of crashing targets, and one run of it is in progress already",
+                     trialRetryDelay),
             nullptr };
     return { std::nullopt, std::make_shared<running_trial>(m_trials, identity) };
 }
 
 bool request_guard::isSuspected(const request_identity& identity) const
 {
-    return m_known.statusOf(identity, std::chrono::steady_clock::now()) != quarantine::status::clear;
+    return m_suspects.statusOf(identity, std::chrono::steady_clock::now()) != quarantine::status::clear;
 }
 
-void request_guard::aborted(const request_identity& identity, const strike_record& whenSent,
-    const run_target& target, std::function<void()> settled)
+void request_guard::aborted(const request_identity& identity, const strike_record& recordWhenSent,
+    const executing_target& target, std::function<void()> settled)
 {
-    m_ends.examine(
-        target, [this, identity, whenSent, id = target.id, settled = std::move(settled)](bool ended) {
-            if (ended)
-                targetTerminated(identity, whenSent, id);
+    m_terminationCheck.examine(target,
+        [this, identity, recordWhenSent, id = target.id, settled = std::move(settled)](bool terminated) {
+            if (terminated)
+                targetTerminated(identity, recordWhenSent, id);
             if (settled)
                 settled();
         });
 }
 
 void request_guard::targetUnresponsive(
-    const request_identity& identity, const strike_record& whenSent, const run_target& target)
+    const request_identity& identity, const strike_record& recordWhenSent, const executing_target& target)
 {
-    m_ends.awaitRestart(target, [this, identity, whenSent, id = target.id](bool ended) {
-        if (ended)
-            targetTerminated(identity, whenSent, id);
-    });
+    m_terminationCheck.awaitRestart(
+        target, [this, identity, recordWhenSent, id = target.id](bool terminated) {
+            if (terminated)
+                targetTerminated(identity, recordWhenSent, id);
+        });
 }
 
 void request_guard::targetTerminated(
-    const request_identity& identity, const strike_record& whenSent, const std::string& target)
+    const request_identity& identity, const strike_record& recordWhenSent, const std::string& target)
 {
-    if (!m_known.targetTerminated(identity, whenSent, std::chrono::steady_clock::now()))
+    if (!m_suspects.targetTerminated(identity, recordWhenSent, std::chrono::steady_clock::now()))
         return;
-    const auto record = m_known.record(identity);
+    const auto record = m_suspects.record(identity);
     logEvent(log_level::warning, "target ended under a request",
         { { "identity", toString(identity) }, { "target", target },
             { "strikes", std::int64_t { record.strikes } },
             { "acquittals", std::int64_t { record.acquittals } } });
-    m_figures.count("yuccachute_request_strikes_total", "strikes", std::to_string(record.strikes));
-    tell(identity);
+    m_metrics.count("yuccachute_request_strikes_total", "strikes", std::to_string(record.strikes));
+    notifyListener(identity);
 }
 
 void request_guard::answered(const request_identity& identity)
 {
-    if (!m_known.answered(identity, std::chrono::steady_clock::now()))
+    if (!m_suspects.answered(identity, std::chrono::steady_clock::now()))
         return;
     logEvent(log_level::info, "request acquitted", { { "identity", toString(identity) } });
-    tell(identity);
+    notifyListener(identity);
 }
 
-void request_guard::tell(const request_identity& identity)
+void request_guard::notifyListener(const request_identity& identity)
 {
-    const auto news = m_known.report(identity, std::chrono::steady_clock::now());
-    if (news && m_told)
-        m_told(*news);
+    const auto change = m_suspects.report(identity, std::chrono::steady_clock::now());
+    if (change && m_listener)
+        m_listener(*change);
 }
 
 bool request_guard::merge(std::span<const suspect_report> reports)
 {
     const auto now = std::chrono::steady_clock::now();
-    bool news = false;
+    bool changed = false;
     for (const auto& report : reports) {
-        const auto before = m_known.statusOf(report.identity, now);
-        if (!m_known.merge(report, now))
+        const auto before = m_suspects.statusOf(report.identity, now);
+        if (!m_suspects.merge(report, now))
             continue;
-        news = true;
-        const auto after = m_known.statusOf(report.identity, now);
+        changed = true;
+        const auto after = m_suspects.statusOf(report.identity, now);
         if (after == before)
             continue;
         logEvent(log_level::info, "heard of a suspected request",
@@ -124,18 +127,18 @@
                 { "acquittals", std::int64_t { report.record.acquittals } },
                 { "age_ms", report.age.count() } });
     }
-    return news;
+    return changed;
 }
 
-shared_guard::shared_guard(event_loop& loop, load_report_source& loads, metrics& figures, peer_sync& peers,
-    async_store& store, suspect_replicator::address_source addresses)
-    : guard(loop, loads, figures)
+shared_guard::shared_guard(event_loop& loop, load_report_source& loads, metrics& processMetrics,
+    peer_sync& peers, async_store& store, suspect_replicator::address_source addresses)
+    : guard(loop, loads, processMetrics)
     , replicator(loop, peers, guard, std::move(addresses))
     , archive(loop, store, guard)
 {
-    guard.onNews([this](const suspect_report& news) {
-        replicator.tell(news);
-        archive.save(news);
+    guard.onChange([this](const suspect_report& change) {
+        replicator.broadcast(change);
+        archive.save(change);
     });
 }
 
--- a/libs/guard/src/suspect_archive.cpp
+++ b/libs/guard/src/suspect_archive.cpp
@@ -13,19 +13,20 @@
 using nlohmann::json;
 
 constexpr std::string_view suspectsPrefix = "yuccachute/suspect/";
-constexpr std::uint32_t leastStrikesKept = 2;
-constexpr milliseconds loadRetry { 1000 };
-/// What several targets' ends show within a moment is written by one call: each is priced.
-constexpr milliseconds writePause { 50 };
-constexpr milliseconds writeRetry { 1000 };
-/// Each takes two of the 32 entries that a transaction may have.
-constexpr std::size_t mostInOneCall = 12;
-/// Longer than a request is refused. The store forgets what nobody has changed since.
-constexpr std::chrono::minutes timeToLive { 10 };
-/// A lease is shared by what is written within so long.
-constexpr std::chrono::minutes leaseShared { 1 };
-/// While the store is away this many changes are kept; what other processes know goes on being told.
-constexpr std::size_t mostUnsaved = 256;
+constexpr std::uint32_t minStoredStrikes = 2;
+constexpr milliseconds loadRetryDelay { 1000 };
+/// Changes within this time are written by one call, because each call to the store is charged for.
+constexpr milliseconds writeDelay { 50 };
+constexpr milliseconds writeRetryDelay { 1000 };
+/// Each report takes two of the 32 entries that a transaction may have.
+constexpr std::size_t maxReportsPerTransaction = 12;
+/// Longer than the time for which a request is refused. The store deletes records that are not changed for
+/// this time.
+constexpr std::chrono::minutes reportTtl { 10 };
+/// Records that are written within this time share a lease.
+constexpr std::chrono::minutes leaseReusePeriod { 1 };
+/// Changes to keep while the store is unreachable. They are replicated to other processes meanwhile.
+constexpr std::size_t maxUnsavedReports = 256;
 
 std::string keyOf(const request_identity& identity)
 {
@@ -45,27 +46,27 @@
 result<suspect_report> decodeSuspect(
     std::string_view key, std::string_view document, std::int64_t wallClockMs)
 {
-    const auto wrong = [&](const std::string& what) {
+    const auto invalid = [&](const std::string& what) {
         return notRun(failure_kind::bad_request, std::string(key) + ": " + what);
     };
     if (!key.starts_with(suspectsPrefix))
-        return wrong("not a key of a suspect");
+        return invalid("not the key of a suspected request");
     const auto identity = parseIdentity(key.substr(suspectsPrefix.size()));
     if (!identity)
-        return wrong("the key holds no identity");
+        return invalid("the key does not end in a request identity");
     const auto object = json::parse(document, nullptr, false);
     if (!object.is_object())
-        return wrong("not a JSON object");
+        return invalid("not a JSON object");
     for (const auto* field : { "acquittals", "strikes", "changed_ms" }) {
         if (!object.contains(field) || !object[field].is_number_unsigned())
-            return wrong(std::string("field ") + field + ": not a whole number");
+            return invalid(std::string("field ") + field + ": not a whole number");
     }
     suspect_report report;
     report.identity = *identity;
     report.record = { object["acquittals"].get<std::uint32_t>(), object["strikes"].get<std::uint32_t>() };
-    // Clocks of VMs differ, and may jump.
+    // The clocks of VMs differ and may jump.
     const auto age = milliseconds { wallClockMs - object["changed_ms"].get<std::int64_t>() };
-    report.age = std::clamp<milliseconds>(age, milliseconds { 0 }, timeToLive);
+    report.age = std::clamp<milliseconds>(age, milliseconds { 0 }, reportTtl);
     return report;
 }
 
@@ -82,39 +83,40 @@
 {
     m_store.list(suspectsPrefix, [this, loaded = std::move(loaded)](const result<store_listing>& listing) {
         if (!listing)
-            return m_loadTimer.arm(loadRetry, [this, loaded] { load(loaded); });
-        take(listing.value().values);
+            return m_loadTimer.arm(loadRetryDelay, [this, loaded] { load(loaded); });
+        mergeStored(listing.value().values);
         loaded();
     });
 }
 
-void suspect_archive::take(std::span<const stored_value> values)
+void suspect_archive::mergeStored(std::span<const stored_value> values)
 {
     std::vector<suspect_report> reports;
     for (const auto& value : values) {
         auto decoded = decodeSuspect(value.key, value.value, wallClockMs());
         if (!decoded) {
-            logEvent(log_level::error, "suspect not understood", { { "message", decoded.error().message } });
+            logEvent(log_level::error, "stored suspect record ignored",
+                { { "message", decoded.error().message } });
             continue;
         }
-        m_kept[decoded.value().identity] = { decoded.value().record, value.modRevision };
+        m_stored[decoded.value().identity] = { decoded.value().record, value.modRevision };
         reports.push_back(decoded.value());
     }
     m_guard.merge(reports);
 }
 
-void suspect_archive::save(const suspect_report& news)
+void suspect_archive::save(const suspect_report& change)
 {
-    const bool kept = m_kept.contains(news.identity);
-    if (news.record.strikes < leastStrikesKept && !kept)
+    const bool stored = m_stored.contains(change.identity);
+    if (change.record.strikes < minStoredStrikes && !stored)
         return;
-    if (m_unsaved.size() >= mostUnsaved)
+    if (m_unsaved.size() >= maxUnsavedReports)
         return;
-    m_unsaved.insert(news.identity);
-    writeSoon(writePause);
+    m_unsaved.insert(change.identity);
+    scheduleWrite(writeDelay);
 }
 
-void suspect_archive::writeSoon(milliseconds pause)
+void suspect_archive::scheduleWrite(milliseconds pause)
 {
     if (!m_writing && !m_writeTimer.armed())
         m_writeTimer.arm(pause, [this] { write(); });
@@ -126,19 +128,19 @@
         return;
     m_writing = true;
     const auto now = std::chrono::steady_clock::now();
-    if (m_lease != 0 && now - m_leaseSince < leaseShared)
-        return writeUnder(m_lease);
-    m_store.grantLease(timeToLive, [this, now](const result<std::int64_t>& lease) {
+    if (m_lease != 0 && now - m_leaseGrantedAt < leaseReusePeriod)
+        return writeWithLease(m_lease);
+    m_store.grantLease(reportTtl, [this, now](const result<std::int64_t>& lease) {
         m_lease = lease ? lease.value() : 0;
-        m_leaseSince = now;
+        m_leaseGrantedAt = now;
         if (lease)
-            return writeUnder(m_lease);
+            return writeWithLease(m_lease);
         m_writing = false;
-        writeSoon(writeRetry);
+        scheduleWrite(writeRetryDelay);
     });
 }
 
-void suspect_archive::writeUnder(std::int64_t lease)
+void suspect_archive::writeWithLease(std::int64_t lease)
 {
     const auto now = std::chrono::steady_clock::now();
     std::erase_if(
@@ -146,7 +148,7 @@
     store_transaction transaction;
     std::vector<suspect_report> reports;
     for (const auto& identity : m_unsaved) {
-        if (reports.size() == mostInOneCall)
+        if (reports.size() == maxReportsPerTransaction)
             break;
         reports.push_back(*m_guard.known().report(identity, now));
         transaction.conditions.push_back(conditionOf(identity));
@@ -158,9 +160,9 @@
         return;
     m_store.commit(transaction, [this, reports](const result<commit_outcome>& outcome) {
         m_writing = false;
-        written(reports, outcome);
+        onWritten(reports, outcome);
         if (!m_unsaved.empty())
-            writeSoon(outcome ? writePause : writeRetry);
+            scheduleWrite(outcome ? writeDelay : writeRetryDelay);
     });
 }
 
@@ -168,34 +170,34 @@
 {
     store_condition condition;
     condition.key = keyOf(identity);
-    const auto kept = m_kept.find(identity);
-    if (kept == m_kept.end())
+    const auto stored = m_stored.find(identity);
+    if (stored == m_stored.end())
         return condition;
     condition.what = store_condition::kind::mod_revision;
-    condition.revision = kept->second.revision;
+    condition.revision = stored->second.revision;
     return condition;
 }
 
-void suspect_archive::written(
+void suspect_archive::onWritten(
     const std::vector<suspect_report>& reports, const result<commit_outcome>& outcome)
 {
     if (!outcome) {
         if (outcome.error().kind == failure_kind::not_found)
-            m_lease = 0; // It has lapsed.
-        return; // Written again: the condition tells whether this one took effect.
+            m_lease = 0; // The lease has expired.
+        return; // The write is retried; its condition shows whether this one took effect.
     }
     if (outcome.value().applied) {
         for (const auto& report : reports)
-            m_kept[report.identity] = { report.record, outcome.value().revision };
+            m_stored[report.identity] = { report.record, outcome.value().revision };
     } else {
-        // Somebody else has written. What is in the store now is the condition of the next call.
+        // Another process has changed the keys. Their present revisions are the conditions of the next call.
         for (const auto& report : reports)
-            m_kept.erase(report.identity);
-        take(outcome.value().found);
+            m_stored.erase(report.identity);
+        mergeStored(outcome.value().found);
     }
     std::erase_if(m_unsaved, [&](const auto& identity) {
-        const auto kept = m_kept.find(identity);
-        return kept != m_kept.end() && !m_guard.record(identity).supersedes(kept->second.record);
+        const auto stored = m_stored.find(identity);
+        return stored != m_stored.end() && !m_guard.record(identity).supersedes(stored->second.record);
     });
 }
 
--- a/libs/guard/src/suspect_spread.cpp
+++ b/libs/guard/src/suspect_replicator.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// News of a moment travel together: when a rack of targets ends, an entry learns of dozens of requests
-/// within milliseconds.
-constexpr milliseconds flushPause { 10 };
-constexpr milliseconds tellTimeout { 500 };
-/// A peer whose digest differs is told everything at most so often.
-constexpr milliseconds tellAllPause { 1000 };
+/// Changes within this time are sent together: when a rack of targets fails, an entry learns of dozens of
+/// requests within milliseconds.
+constexpr milliseconds flushDelay { 10 };
+constexpr milliseconds sendTimeout { 500 };
+/// Shortest interval between transfers of all reports to a peer whose digest differs.
+constexpr milliseconds fullSyncInterval { 1000 };
 constexpr milliseconds expiryInterval { 5000 };
 
 } // namespace
@@ -33,7 +33,7 @@
         return;
     const auto now = std::chrono::steady_clock::now();
     m_guard.expire(now);
-    std::erase_if(m_toldAll, [&](const auto& told) { return now - told.second >= tellAllPause; });
+    std::erase_if(m_lastFullSync, [&](const auto& sync) { return now - sync.second >= fullSyncInterval; });
     publishSnapshot();
 }
 
@@ -43,16 +43,16 @@
     snapshot next { m_guard.known().reports(now), 0, now };
     next.digest = digestOf(next.reports);
     const std::scoped_lock lock(m_mutex);
-    m_published = std::move(next);
+    m_snapshot = std::move(next);
 }
 
 suspect_replicator::snapshot suspect_replicator::published() const
 {
     const auto now = std::chrono::steady_clock::now();
     const std::scoped_lock lock(m_mutex);
-    auto copy = m_published;
+    auto copy = m_snapshot;
     for (auto& report : copy.reports)
-        report.age += std::chrono::duration_cast<milliseconds>(now - copy.made);
+        report.age += std::chrono::duration_cast<milliseconds>(now - copy.takenAt);
     return copy;
 }
 
@@ -69,8 +69,8 @@
                               digest = answer.value().suspectsDigest] {
                     if (alive.expired())
                         return;
-                    take(reports);
-                    compare(address, digest);
+                    mergeReports(reports);
+                    sendAllIfDigestDiffers(address, digest);
                 });
             done(std::move(answer));
         });
@@ -85,42 +85,42 @@
     if (!question.suspects.empty())
         m_loop.post([this, alive = std::weak_ptr(m_alive), reports = question.suspects] {
             if (!alive.expired())
-                take(reports);
+                mergeReports(reports);
         });
 }
 
-void suspect_replicator::take(const std::vector<suspect_report>& reports)
+void suspect_replicator::mergeReports(const std::vector<suspect_report>& reports)
 {
     if (m_guard.merge(reports))
         publishSnapshot();
 }
 
-void suspect_replicator::compare(const std::string& address, std::uint64_t digest)
+void suspect_replicator::sendAllIfDigestDiffers(const std::string& address, std::uint64_t digest)
 {
     const auto own = published();
     if (own.digest == digest || own.reports.empty())
         return;
-    // The peer has not heard of something, such as one that was cut off when it was told.
+    // The peer lacks a record, for example because it was unreachable when the change was sent.
     const auto now = std::chrono::steady_clock::now();
-    const auto [last, first] = m_toldAll.try_emplace(address, now);
-    if (!first && now - last->second < tellAllPause)
+    const auto [last, first] = m_lastFullSync.try_emplace(address, now);
+    if (!first && now - last->second < fullSyncInterval)
         return;
     last->second = now;
     send(address, own.reports);
 }
 
-void suspect_replicator::tell(const suspect_report& news)
+void suspect_replicator::broadcast(const suspect_report& change)
 {
     publishSnapshot();
-    m_news.insert_or_assign(news.identity, news);
+    m_pendingReports.insert_or_assign(change.identity, change);
     if (!m_flush.armed())
-        m_flush.arm(flushPause, [this] { flush(); });
+        m_flush.arm(flushDelay, [this] { flush(); });
 }
 
 void suspect_replicator::flush()
 {
     std::vector<suspect_report> reports;
-    for (const auto& [identity, report] : std::exchange(m_news, {}))
+    for (const auto& [identity, report] : std::exchange(m_pendingReports, {}))
         reports.push_back(report);
     for (const auto& address : m_addresses())
         send(address, reports);
@@ -131,13 +131,13 @@
     sync_question question;
     question.suspects = std::move(reports);
     question.suspectsDigest = published().digest;
-    m_peers.sync(address, question, tellTimeout,
+    m_peers.sync(address, question, sendTimeout,
         [this, alive = std::weak_ptr(m_alive), &loop = m_loop](const result<sync_answer>& answer) {
             if (!answer)
-                return; // It hears of the news when it asks next.
+                return; // The peer gets the changes with its next sync request.
             loop.post([this, alive, theirs = answer.value().suspects] {
                 if (!alive.expired())
-                    take(theirs);
+                    mergeReports(theirs);
             });
         });
 }
--- a/libs/guard/tests/test_request_guard.cpp
+++ b/libs/guard/tests/test_request_guard.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr request_identity guilty { 1, 1 };
+constexpr request_identity harmfulRequest { 1, 1 };
 constexpr request_identity other { 2, 2 };
 
-/// Targets that refuse connections, or answer.
+/// Targets that refuse connections or respond, as the test sets.
 class scripted_loads final : public load_report_source {
 public:
     void ask(const std::string&, callback done) override
@@ -27,7 +27,7 @@
 
 struct entry {
     explicit entry(event_loop& loop)
-        : guard(loop, loads, figures)
+        : guard(loop, loads, processMetrics)
     {
         whole_list::value_map targets;
         for (const auto* name : { "t1", "t2", "t3", "t4" }) {
@@ -46,12 +46,12 @@
     }
 
     scripted_loads loads;
-    metrics figures;
+    metrics processMetrics;
     whole_list listed;
     request_guard guard;
 };
 
-/// Peers as functions: each address leads to the spread of another entry.
+/// In-process peers: maps each address to the replicator of another entry.
 class linked_peers final : public peer_sync {
 public:
     void sync(std::string_view address, const sync_question& question, milliseconds,
@@ -69,14 +69,14 @@
     int calls = 0;
 };
 
-struct spreading_entry : entry {
-    spreading_entry(event_loop& loop, std::vector<std::string> told)
+struct replicating_entry : entry {
+    replicating_entry(event_loop& loop, std::vector<std::string> peerAddresses)
         : entry(loop)
-        , replicator(loop, links, guard, [told] { return told; })
+        , replicator(loop, links, guard, [peerAddresses] { return peerAddresses; })
     {
-        guard.onNews([this](const suspect_report& news) { replicator.tell(news); });
+        guard.onChange([this](const suspect_report& change) { replicator.broadcast(change); });
     }
-    void ask(const std::string& address)
+    void syncWith(const std::string& address)
     {
         replicator.sync(address, {}, milliseconds { 100 }, [](const auto&) {});
     }
@@ -85,8 +85,8 @@
     suspect_replicator replicator;
 };
 
-/// A store of single keys that can fail.
-class kept_values final : public async_store {
+/// An in-memory store that can be made to fail.
+class fake_store final : public async_store {
 public:
     void get(std::string_view, callback<std::optional<stored_value>>) override { }
     void list(std::string_view, callback<store_listing> done) override
@@ -120,7 +120,7 @@
                 outcome.found.push_back(values.at(write.key));
         }
         outcome.revision = revision;
-        const bool lost = std::exchange(loseAnswer, false);
+        const bool lost = std::exchange(loseReply, false);
         if (lost)
             return done(mayHaveRun(failure_kind::timeout, "lost"));
         done(outcome);
@@ -139,7 +139,7 @@
     std::int64_t revision = 1;
     int commits = 0;
     bool down = false;
-    bool loseAnswer = false;
+    bool loseReply = false;
 };
 
 struct archiving_entry : entry {
@@ -147,23 +147,23 @@
         : entry(loop)
         , archive(loop, store, guard)
     {
-        guard.onNews([this](const suspect_report& news) { archive.save(news); });
+        guard.onChange([this](const suspect_report& change) { archive.save(change); });
     }
     suspect_archive archive;
 };
 
 } // namespace
 
-TEST_CASE("a request is refused at once after its third target, and says when to come back")
+TEST_CASE("a request is refused at once after its third crashed target, with a retry delay")
 {
     event_loop loop;
     entry one(loop);
     CHECK_FALSE(one.guard.hasSuspects());
     for (const auto* target : { "t1", "t2", "t3" }) {
-        CHECK_FALSE(one.guard.admit(guilty).refusal);
-        one.end(guilty, target);
+        CHECK_FALSE(one.guard.admit(harmfulRequest).refusal);
+        one.end(harmfulRequest, target);
     }
-    const auto admission = one.guard.admit(guilty);
+    const auto admission = one.guard.admit(harmfulRequest);
     REQUIRE(admission.refusal);
     CHECK(admission.refusal->ran == verdict::not_run);
     CHECK(httpStatus(admission.refusal->kind) == 429);
@@ -171,89 +171,90 @@
     CHECK_FALSE(one.guard.admit(other).refusal);
 }
 
-TEST_CASE("a target that lives on is no strike")
+TEST_CASE("a target that keeps running is no strike")
 {
     event_loop loop;
     entry one(loop);
     one.loads.refuses = false;
     for (int i = 0; i < 5; ++i)
-        one.end(guilty);
+        one.end(harmfulRequest);
     CHECK_FALSE(one.guard.hasSuspects());
 }
 
-// Story: three callers send a request that has ended two targets, at the same moment and to one entry. Each
-// ended one more target before the entry knew that the first had.
-TEST_CASE("a suspected request runs once at a time")
+// Three callers sent a request to one entry at the same moment. The request had crashed two targets, and each
+// run crashed one more before the entry knew of the first crash.
+TEST_CASE("a suspected request has one run at a time")
 {
     event_loop loop;
     entry one(loop);
-    one.end(guilty, "t1");
-    one.end(guilty, "t2");
-    auto first = one.guard.admit(guilty);
+    one.end(harmfulRequest, "t1");
+    one.end(harmfulRequest, "t2");
+    auto first = one.guard.admit(harmfulRequest);
     CHECK_FALSE(first.refusal);
     CHECK(first.runningTrial);
-    const auto second = one.guard.admit(guilty);
+    const auto second = one.guard.admit(harmfulRequest);
     REQUIRE(second.refusal);
     CHECK(second.refusal->retryAfter.count() > 0);
     first.runningTrial.reset();
-    CHECK_FALSE(one.guard.admit(guilty).refusal);
+    CHECK_FALSE(one.guard.admit(harmfulRequest).refusal);
 }
 
-// Story: a request comes again to another entry a fifth of a second later. What the first entry has seen was
-// not there yet, and two more targets ended.
-TEST_CASE("what an entry has seen is told to the others at once")
+// A request was sent again to another entry a fifth of a second later. The record of the first entry had not
+// arrived there yet, and two more targets crashed.
+TEST_CASE("a change that an entry observes is sent to the others at once")
 {
     event_loop loop;
-    spreading_entry left(loop, { "right" });
-    spreading_entry right(loop, { "left" });
+    replicating_entry left(loop, { "right" });
+    replicating_entry right(loop, { "left" });
     left.links.peers["right"] = &right.replicator;
     right.links.peers["left"] = &left.replicator;
-    left.end(guilty, "t1");
-    left.end(guilty, "t2");
+    left.end(harmfulRequest, "t1");
+    left.end(harmfulRequest, "t2");
     loop.runFor(milliseconds { 50 });
-    CHECK(right.guard.record(guilty).strikes == 2);
-    right.guard.answered(guilty);
+    CHECK(right.guard.record(harmfulRequest).strikes == 2);
+    right.guard.answered(harmfulRequest);
     loop.runFor(milliseconds { 50 });
-    CHECK(left.guard.record(guilty) == strike_record { 1, 0 });
+    CHECK(left.guard.record(harmfulRequest) == strike_record { 1, 0 });
 }
 
-// Story: a zone is cut off while a request ends targets on the other side. When the link is back its entries
-// hear of it with the next question that they ask, whichever side asks.
-TEST_CASE("entries that were cut off from each other learn of what they missed with the next question")
+// A zone is partitioned while a request crashes targets on the other side. Once the link is back, its entries
+// must get the record with the next sync, whichever side starts it.
+TEST_CASE("entries get the records that they missed during a network partition with the next sync")
 {
     for (const bool askerKnows : { false, true }) {
         event_loop loop;
-        spreading_entry left(loop, {});
-        spreading_entry right(loop, {});
+        replicating_entry left(loop, {});
+        replicating_entry right(loop, {});
         left.links.peers["right"] = &right.replicator;
         right.links.peers["left"] = &left.replicator;
-        left.end(guilty);
+        left.end(harmfulRequest);
         loop.runFor(milliseconds { 20 });
         if (askerKnows)
-            left.ask("right");
+            left.syncWith("right");
         else
-            right.ask("left");
+            right.syncWith("left");
         loop.runFor(milliseconds { 20 });
-        CHECK(right.guard.record(guilty).strikes == 1);
+        CHECK(right.guard.record(harmfulRequest).strikes == 1);
         const int calls = left.links.calls + right.links.calls;
-        left.ask("right");
-        right.ask("left");
+        left.syncWith("right");
+        right.syncWith("left");
         loop.runFor(milliseconds { 20 });
-        CHECK(left.links.calls + right.links.calls == calls + 2); // Nothing more is told when both know.
+        CHECK(left.links.calls + right.links.calls
+            == calls + 2); // Nothing more is sent if both have the record.
     }
 }
 
-TEST_CASE("requests of two strikes are kept in the store, and read by processes that start")
+TEST_CASE("records of two strikes are stored, and loaded by processes that start")
 {
     event_loop loop;
-    kept_values store;
+    fake_store store;
     archiving_entry left(loop, store);
     left.end(other);
     loop.runFor(milliseconds { 100 });
-    CHECK(store.commits == 0); // A victim, most probably.
-    left.end(guilty, "t1");
-    left.end(guilty, "t2");
-    left.end(guilty, "t3");
+    CHECK(store.commits == 0); // One strike: most probably the target terminated for another reason.
+    left.end(harmfulRequest, "t1");
+    left.end(harmfulRequest, "t2");
+    left.end(harmfulRequest, "t3");
     loop.runFor(milliseconds { 100 });
     CHECK(store.commits == 1);
 
@@ -261,42 +262,42 @@
     bool loaded = false;
     right.archive.load([&] { loaded = true; });
     CHECK(loaded);
-    CHECK(right.guard.admit(guilty).refusal);
-    right.guard.answered(guilty);
+    CHECK(right.guard.admit(harmfulRequest).refusal);
+    right.guard.answered(harmfulRequest);
     loop.runFor(milliseconds { 100 });
     archiving_entry third(loop, store);
     third.archive.load([] {});
-    CHECK_FALSE(third.guard.admit(guilty).refusal);
+    CHECK_FALSE(third.guard.admit(harmfulRequest).refusal);
 }
 
-// Story: two entries write what they know of one request at the same time, and an answer of the store is
-// lost. The worse record has to stay.
-TEST_CASE("what several processes keep of a request ends as the worst that one of them knows")
+// Two entries write their records of one request at the same time, and a reply of the store is lost. The
+// record with more strikes has to remain.
+TEST_CASE("of the records that several processes store for a request, the worst one remains")
 {
     event_loop loop;
-    kept_values store;
+    fake_store store;
     archiving_entry left(loop, store);
     archiving_entry right(loop, store);
-    right.end(guilty, "t1");
-    right.end(guilty, "t2");
+    right.end(harmfulRequest, "t1");
+    right.end(harmfulRequest, "t2");
     loop.runFor(milliseconds { 100 });
-    store.loseAnswer = true;
+    store.loseReply = true;
     for (const auto* target : { "t1", "t2", "t3" })
-        left.end(guilty, target);
+        left.end(harmfulRequest, target);
     loop.runFor(milliseconds { 1300 });
     archiving_entry third(loop, store);
     third.archive.load([] {});
-    CHECK(third.guard.record(guilty).strikes == 3);
+    CHECK(third.guard.record(harmfulRequest).strikes == 3);
 }
 
-TEST_CASE("a suspect is kept and read with its age, and what cannot be read is named")
+TEST_CASE("a stored record keeps its age, and decoding errors name the invalid part")
 {
-    const suspect_report report { guilty, { 1, 2 }, milliseconds { 5000 } };
-    const auto key = "yuccachute/suspect/" + toString(guilty);
+    const suspect_report report { harmfulRequest, { 1, 2 }, milliseconds { 5000 } };
+    const auto key = "yuccachute/suspect/" + toString(harmfulRequest);
     const auto document = encodeSuspect(report, 100000);
     const auto read = decodeSuspect(key, document, 103000);
     REQUIRE(read);
-    CHECK(read.value().identity == guilty);
+    CHECK(read.value().identity == harmfulRequest);
     CHECK(read.value().record == report.record);
     CHECK(read.value().age == milliseconds { 8000 });
     CHECK(decodeSuspect(key, document, 0).value().age == milliseconds { 0 }); // The clock jumped back.
--- a/libs/guard/tests/test_end_check.cpp
+++ b/libs/guard/tests/test_termination_check.cpp
@@ -11,10 +11,10 @@
 public:
     void ask(const std::string& address, callback done) override
     {
-        asked += address + ' ';
+        polledAddresses += address + ' ';
         answer = std::move(done);
     }
-    std::string asked;
+    std::string polledAddresses;
     callback answer;
 };
 
@@ -37,24 +37,25 @@
     }
     void examine(const std::string& target)
     {
-        check.examine({ target, "" }, [this](bool ended) { found += ended ? "ended " : "alive "; });
+        check.examine({ target, "" }, [this](bool terminated) { found += terminated ? "ended " : "alive "; });
     }
 
     event_loop loop;
     scripted_loads loads;
     whole_list listed;
-    end_check check { loop, loads };
+    termination_check check { loop, loads };
     std::string found;
 };
 
 } // namespace
 
-TEST_CASE("a target that refuses connections after a cut has ended, one that answers has not")
+TEST_CASE(
+    "a target that refuses connections after an aborted response has terminated, one that responds has not")
 {
     fixture f;
     f.examine("t1");
     f.examine("t1");
-    CHECK(f.loads.asked == "a1 "); // All cuts of a moment are settled by one question.
+    CHECK(f.loads.polledAddresses == "a1 "); // One probe decides all pending checks of a target.
     f.loads.answer(notRun(failure_kind::unavailable, "connection refused"));
     CHECK(f.found == "ended ended ");
     f.examine("t2");
@@ -62,19 +63,19 @@
     CHECK(f.found == "ended ended alive ");
 }
 
-TEST_CASE("a target that leaves may stop in the middle, and nothing is concluded from it")
+TEST_CASE("nothing is concluded from a response that a draining target aborts")
 {
     fixture f;
     f.examine("t3");
     f.examine("unlisted");
     f.loop.runFor(milliseconds { 5 });
     CHECK(f.found == "alive alive ");
-    CHECK(f.loads.asked.empty());
+    CHECK(f.loads.polledAddresses.empty());
 }
 
-// Story: a target's VM goes dark with it, or the way there is cut at that moment; no connection is refused.
-// Another start of it at its address is the proof, seconds later.
-TEST_CASE("of a target that does not answer the list of targets tells")
+// If a target's VM becomes unreachable together with the target, or a link fails at that moment, no
+// connection is refused. The proof is another start of the target at its address, seconds later.
+TEST_CASE("the target list decides about a target that does not respond")
 {
     fixture f;
     f.examine("t1");
@@ -82,29 +83,30 @@
     CHECK(f.found.empty());
     f.list({ listedAt("t2", "a2"), listedAt("t4", "a1") });
     CHECK(f.found == "ended ");
-    f.loads.asked.clear();
-    f.check.awaitRestart({ "t2", "a2" }, [&](bool ended) { f.found += ended ? "ended " : "alive "; });
-    CHECK(f.loads.asked.empty()); // Silence is no reason to ask.
+    f.loads.polledAddresses.clear();
+    f.check.awaitRestart(
+        { "t2", "a2" }, [&](bool terminated) { f.found += terminated ? "ended " : "alive "; });
+    CHECK(f.loads.polledAddresses.empty()); // An unresponsive target is not probed.
     f.examine("t2");
     f.loads.answer(mayHaveRun(failure_kind::timeout, "silent"));
     f.list({ listedAt("t2", "a2") }, milliseconds { 11000 });
-    CHECK(f.found == "ended alive alive "); // A cut link: nobody else ever came to its address.
+    CHECK(f.found == "ended alive alive "); // A failed link: no other target was listed at its address.
 }
 
-// Guards against a request that ends one target after the other because the entry's slice of the list does
-// not name them.
-TEST_CASE("the end of a target that this process does not list is found out by its address")
+// Guards against a request that crashes one target after the other because the entry's slice of the target
+// list does not contain them.
+TEST_CASE("the termination of a target that this process does not list is detected at its address")
 {
     event_loop loop;
     scripted_loads loads;
     whole_list listed;
-    end_check check { loop, loads };
+    termination_check check { loop, loads };
     auto slice = listed.directory();
     slice.setPartial(true);
     check.setTargets(slice, {}, std::chrono::steady_clock::now());
     std::string found;
-    check.examine({ "elsewhere", "a9" }, [&](bool ended) { found += ended ? "ended " : "alive "; });
-    CHECK(loads.asked == "a9 ");
+    check.examine({ "elsewhere", "a9" }, [&](bool terminated) { found += terminated ? "ended " : "alive "; });
+    CHECK(loads.polledAddresses == "a9 ");
     loads.answer(notRun(failure_kind::unavailable, "connection refused"));
     CHECK(found == "ended ");
 }
