--- a/libs/node/src/completion_call.cpp
+++ b/libs/node/src/completion_call.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr int mostResumes = 2;
+constexpr int maxResumes = 2;
 constexpr milliseconds cancelTimeout { 500 };
-constexpr milliseconds resumePause { 50 };
+constexpr milliseconds resumeDelay { 50 };
 
-/// State of one attempt across its first stream and the resumed ones.
+/// State of one attempt, across its first stream and the resumed ones.
 class attempt_driver {
 public:
     explicit attempt_driver(const completion_attempt& attempt)
@@ -24,15 +24,15 @@
         const auto started = std::chrono::steady_clock::now();
         m_started = started;
         auto failed = stream(firstRequest());
-        for (int resume = 0; failed && canResume(*failed) && resume < mostResumes; ++resume) {
-            std::this_thread::sleep_for(resumePause);
+        for (int resume = 0; failed && canResume(*failed) && resume < maxResumes; ++resume) {
+            std::this_thread::sleep_for(resumeDelay);
             failed = stream(resumeRequest());
         }
         m_outcome.whole = !failed;
         if (failed) {
             m_outcome.error = std::move(*failed);
-            // A resume that was refused says only that the resume was not run: the request itself was.
-            if (m_streamBegan && m_outcome.error.ran == verdict::not_run)
+            // A refused resume only means that the resume was not run; the request itself was.
+            if (m_streamStarted && m_outcome.error.ran == verdict::not_run)
                 m_outcome.error.ran = verdict::may_have_run;
         }
         return std::move(m_outcome);
@@ -61,12 +61,12 @@
 
     bool canResume(const failure& error) const
     {
-        return m_streamBegan
+        return m_streamStarted
             && (error.kind == failure_kind::incomplete || error.kind == failure_kind::unavailable)
             && std::chrono::steady_clock::now() < m_attempt.deadline;
     }
 
-    /// Receives one stream to its end; returns why it is not whole, or nothing.
+    /// Receives one stream to its end. Returns why it is incomplete, or nothing.
     std::optional<failure> stream(const http_request& request)
     {
         event_reader reader;
@@ -86,9 +86,9 @@
                 errorBody.append(piece);
                 return true;
             }
-            m_streamBegan = true;
+            m_streamStarted = true;
             for (const auto& event : reader.feed(piece)) {
-                if (!pass(event))
+                if (!forwardEvent(event))
                     stopped = true;
             }
             return !stopped;
@@ -97,7 +97,9 @@
         if (status != 0 && status != 200)
             return refusal(status, errorBody);
         if (!reply)
-            return stopped ? mayHaveRun(failure_kind::cancelled, "the caller has gone") : reply.error();
+            return stopped
+                ? mayHaveRun(failure_kind::cancelled, "the receiver of the events cancelled the attempt")
+                : reply.error();
         if (reader.broken())
             return mayHaveRun(failure_kind::incomplete, "the target sent a malformed event");
         if (!reader.whole())
@@ -108,9 +110,9 @@
         return std::nullopt;
     }
 
-    bool pass(const completion_event& event)
+    bool forwardEvent(const completion_event& event)
     {
-        // An event without text only carries the finish reason.
+        // An event without text carries only the finish reason.
         if (event.text.empty())
             return true;
         if (m_outcome.events++ == 0)
@@ -119,23 +121,25 @@
         return m_attempt.onEvent(event);
     }
 
-    /// A target's own word that it has not run the request is believed; any other error may have run.
+    /// A target that reports that it has not run the request is believed; after any other error the request
+    /// may have run.
     failure refusal(unsigned status, const std::string& body)
     {
-        const auto said = readVerdict(body);
+        const auto reportedVerdict = readVerdict(body);
         const auto message = "the target answered with status " + std::to_string(status);
-        m_outcome.refused = said == verdict::not_run && !m_streamBegan;
-        if (said == verdict::not_run)
+        m_outcome.refused = reportedVerdict == verdict::not_run && !m_streamStarted;
+        if (reportedVerdict == verdict::not_run)
             return notRun(failure_kind::unavailable, message);
-        if (status == 404) // Of a resume: the target does not know the stream any more.
+        if (status == 404) // On a resume: the target no longer knows the stream.
             return mayHaveRun(failure_kind::not_found, message);
-        return { said.value_or(verdict::may_have_run), failure_kind::internal, message, milliseconds { 0 } };
+        return { reportedVerdict.value_or(verdict::may_have_run), failure_kind::internal, message,
+            milliseconds { 0 } };
     }
 
     const completion_attempt& m_attempt;
     attempt_outcome m_outcome;
     steady_time m_started;
-    bool m_streamBegan = false;
+    bool m_streamStarted = false;
 };
 
 } // namespace
@@ -152,9 +156,9 @@
     if (outcome.refused)
         return grant_outcome::refused;
     const auto kind = outcome.error.kind;
-    const bool saysNothing = kind == failure_kind::cancelled || kind == failure_kind::timeout
+    const bool inconclusive = kind == failure_kind::cancelled || kind == failure_kind::timeout
         || outcome.error.ran == verdict::done;
-    return saysNothing ? grant_outcome::abandoned : grant_outcome::failed;
+    return inconclusive ? grant_outcome::abandoned : grant_outcome::failed;
 }
 
 void cancelCompletion(std::string_view address, std::string_view requestId)
@@ -164,7 +168,7 @@
     request.path = "/v1/streams/" + std::string(requestId) + "/cancel";
     http_call_options options;
     options.deadline = std::chrono::steady_clock::now() + cancelTimeout;
-    // A lost cancel costs the target some work: it stops by itself once nobody reads.
+    // A lost cancel request only costs the target some work: it stops by itself once no one reads the stream.
     (void)httpCall(address, request, options);
 }
 
--- a/libs/node/src/entry_follower.cpp
+++ b/libs/node/src/entry_follower.cpp
@@ -8,7 +8,7 @@
 
 constexpr milliseconds followInterval { 500 };
 constexpr milliseconds followTimeout { 1000 };
-constexpr milliseconds avoidTime { 2000 };
+constexpr milliseconds avoidPeriod { 2000 };
 
 } // namespace
 
@@ -71,7 +71,7 @@
 void entry_follower::reportUnreachable(const std::string& address)
 {
     const std::scoped_lock lock(m_mutex);
-    m_avoidUntil[address] = std::chrono::steady_clock::now() + avoidTime;
+    m_avoidUntil[address] = std::chrono::steady_clock::now() + avoidPeriod;
 }
 
 } // namespace yuccachute
--- a/libs/node/src/grant_client.cpp
+++ b/libs/node/src/grant_client.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// A dispatcher acknowledges an ask at once, or grants it. Longer silence means that it is gone or stopped.
+/// A dispatcher acknowledges or grants a request at once. One that does neither for longer is frozen or
+/// unreachable.
 constexpr milliseconds acknowledgeTimeout { 250 };
-constexpr int mostMoves = 3;
-constexpr std::size_t mostOwnersTried = 2;
+constexpr int maxRedirects = 3;
+constexpr std::size_t maxOwnersTried = 2;
 
-failure noAnswer(const std::string& address)
+failure unresponsiveError(const std::string& address)
 {
-    return notRun(failure_kind::unavailable, "the dispatcher at " + address + " does not answer");
+    return notRun(failure_kind::unavailable, "the dispatcher at " + address + " did not respond");
 }
 
 } // namespace
@@ -53,7 +54,7 @@
     std::mutex mutex;
     std::map<std::uint64_t, std::shared_ptr<waiter>> waiters;
     std::map<std::pair<std::string, std::uint64_t>, std::shared_ptr<revocation>> revocable;
-    std::map<std::uint64_t, std::string> groups; ///< Group of each ask that waits.
+    std::map<std::uint64_t, std::string> groups; ///< Group of each pending request.
     bool closed = false;
     std::shared_ptr<dispatcher_link> link;
     peer_handler* local = nullptr;
@@ -130,7 +131,7 @@
 
 void grant_client::received(connection& from, envelope message)
 {
-    const auto settle = [&](std::uint64_t slotRequestId, bool final, const auto& change) {
+    const auto updateWaiter = [&](std::uint64_t slotRequestId, bool final, const auto& change) {
         std::shared_ptr<waiter> waiting;
         {
             const std::scoped_lock lock(from.mutex);
@@ -153,14 +154,14 @@
             const std::scoped_lock lock(from.mutex);
             if (const auto found = from.groups.find(grant.slotRequestId); found != from.groups.end())
                 group = found->second;
-            // A revocation may follow in the same envelope, before the waiting thread wakes.
+            // A revocation may follow in the same envelope, before the waiting thread wakes up.
             from.revocable[{ group, grant.grantId }] = std::make_shared<revocation>();
         }
         const bool wanted
-            = settle(grant.slotRequestId, true, [&](waiter& waiting) { waiting.given = grant; });
+            = updateWaiter(grant.slotRequestId, true, [&](waiter& waiting) { waiting.given = grant; });
         if (wanted)
             continue;
-        // Nobody waits any more: the place goes back at once.
+        // No one waits for this grant any more, so it is released at once.
         const std::scoped_lock lock(from.mutex);
         from.revocable.erase({ group, grant.grantId });
         from.groups.erase(grant.slotRequestId);
@@ -168,13 +169,14 @@
             { group, { grant.grantId, grant_outcome::abandoned, milliseconds { 0 }, 0 } });
     }
     for (auto& refusal : message.refusals)
-        settle(refusal.slotRequestId, true, [&](waiter& waiting) { waiting.refused = refusal.reason; });
+        updateWaiter(refusal.slotRequestId, true, [&](waiter& waiting) { waiting.refused = refusal.reason; });
     for (auto& moved : message.moved) {
-        // An empty address acknowledges an ask that has to wait.
+        // An empty address acknowledges a request that has to wait.
         if (moved.ownerAddress.empty())
-            settle(moved.slotRequestId, false, [](waiter& waiting) { waiting.acknowledged = true; });
+            updateWaiter(moved.slotRequestId, false, [](waiter& waiting) { waiting.acknowledged = true; });
         else
-            settle(moved.slotRequestId, true, [&](waiter& waiting) { waiting.movedTo = moved.ownerAddress; });
+            updateWaiter(
+                moved.slotRequestId, true, [&](waiter& waiting) { waiting.movedTo = moved.ownerAddress; });
     }
     for (const auto& revoke : message.revokes) {
         std::shared_ptr<revocation> wanted;
@@ -191,30 +193,30 @@
         from.send(std::move(returned));
 }
 
-result<held_grant> grant_client::askOne(
-    const std::string& address, const std::string& group, const slot_request& ask, std::string& movedTo)
+result<held_grant> grant_client::requestFrom(
+    const std::string& address, const std::string& group, const slot_request& request, std::string& movedTo)
 {
-    const auto through = connect(address);
+    const auto peer = connect(address);
     auto waiting = std::make_shared<waiter>();
-    ask_message message { group, ask };
-    message.ask.id = m_nextAsk++;
+    ask_message message { group, request };
+    message.ask.id = m_nextRequestId++;
     const auto id = message.ask.id;
     {
-        const std::scoped_lock lock(through->mutex);
-        if (through->closed)
-            return noAnswer(address);
-        through->waiters[id] = waiting;
-        through->groups[id] = group;
+        const std::scoped_lock lock(peer->mutex);
+        if (peer->closed)
+            return unresponsiveError(address);
+        peer->waiters[id] = waiting;
+        peer->groups[id] = group;
     }
     envelope outgoing;
     outgoing.asks.push_back(std::move(message));
-    through->send(std::move(outgoing));
+    peer->send(std::move(outgoing));
 
     std::unique_lock lock(waiting->mutex);
     waiting->changed.wait_for(
         lock, acknowledgeTimeout, [&] { return waiting->answered() || waiting->acknowledged; });
     if (!waiting->answered() && waiting->acknowledged)
-        waiting->changed.wait_until(lock, ask.deadline, [&] { return waiting->answered(); });
+        waiting->changed.wait_until(lock, request.deadline, [&] { return waiting->answered(); });
     const bool acknowledged = waiting->acknowledged;
     const bool answered = waiting->answered();
     const bool lost = waiting->lost;
@@ -223,43 +225,44 @@
     movedTo = waiting->movedTo;
     lock.unlock();
     {
-        const std::scoped_lock clean(through->mutex);
-        through->waiters.erase(id);
+        const std::scoped_lock clean(peer->mutex);
+        peer->waiters.erase(id);
         if (answered)
-            through->groups.erase(id);
+            peer->groups.erase(id);
     }
     if (given) {
-        const std::scoped_lock remember(through->mutex);
+        const std::scoped_lock remember(peer->mutex);
         return held_grant { group, address, given->grantId, given->target, given->address, given->waited,
-            through->revocable[{ group, given->grantId }] };
+            peer->revocable[{ group, given->grantId }] };
     }
     if (refused)
         return *refused;
     if (!movedTo.empty())
-        return noAnswer(address);
+        return unresponsiveError(address);
     if (!lost) {
         envelope withdrawal;
         withdrawal.withdrawals.push_back({ group, id });
-        through->send(std::move(withdrawal));
+        peer->send(std::move(withdrawal));
         if (acknowledged)
             return notRun(
                 failure_kind::overloaded, "no target had room before the timeout", milliseconds { 1000 });
     }
-    return noAnswer(address);
+    return unresponsiveError(address);
 }
 
-result<held_grant> grant_client::acquire(const std::string& group, const std::string& zone, slot_request ask)
+result<held_grant> grant_client::acquire(
+    const std::string& group, const std::string& zone, slot_request request)
 {
     auto owners = m_owners(group, zone);
     if (owners.empty())
         return notRun(failure_kind::unavailable, "no entry of zone " + zone + " is known");
-    owners.resize(std::min(owners.size(), mostOwnersTried));
-    failure last = notRun(failure_kind::unavailable, "no dispatcher");
+    owners.resize(std::min(owners.size(), maxOwnersTried));
+    failure last = notRun(failure_kind::unavailable, "no dispatcher was tried");
     for (const auto& owner : owners) {
         std::string address = owner;
-        for (int move = 0; move < mostMoves; ++move) {
+        for (int move = 0; move < maxRedirects; ++move) {
             std::string movedTo;
-            auto outcome = askOne(address, group, ask, movedTo);
+            auto outcome = requestFrom(address, group, request, movedTo);
             if (outcome)
                 return outcome;
             last = outcome.error();
@@ -267,8 +270,8 @@
                 break;
             address = movedTo;
         }
-        const bool silent = last.kind == failure_kind::unavailable && last.retryAfter.count() == 0;
-        if (!silent)
+        const bool noResponse = last.kind == failure_kind::unavailable && last.retryAfter.count() == 0;
+        if (!noResponse)
             return last;
         m_unreachable(address);
     }
@@ -278,14 +281,14 @@
 void grant_client::release(const held_grant& grant, grant_release figures)
 {
     figures.grantId = grant.grantId;
-    const auto through = connect(grant.dispatcher);
+    const auto peer = connect(grant.dispatcher);
     {
-        const std::scoped_lock lock(through->mutex);
-        through->revocable.erase({ grant.group, grant.grantId });
+        const std::scoped_lock lock(peer->mutex);
+        peer->revocable.erase({ grant.group, grant.grantId });
     }
     envelope message;
     message.releases.push_back({ grant.group, figures });
-    through->send(std::move(message));
+    peer->send(std::move(message));
 }
 
 } // namespace yuccachute
--- a/libs/node/src/process_options.cpp
+++ b/libs/node/src/process_options.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr const char* versionText = "0.1";
-constexpr std::int64_t mostNumber = 86400000;
+constexpr std::int64_t maxNumber = 86400000;
 
 std::vector<std::string> splitList(const std::string& text)
 {
@@ -30,7 +30,7 @@
     return parts;
 }
 
-/// Assigns one value; returns the problem, or nothing.
+/// Sets one option. Returns a description of the problem, which is empty if there is none.
 std::string assign(process_options& options, const std::string& key, const std::string& value)
 {
     const std::map<std::string, std::string*> texts { { "vm", &options.vm }, { "zone", &options.zone },
@@ -51,8 +51,8 @@
         std::int64_t number = 0;
         const auto parsed = std::from_chars(value.data(), value.data() + value.size(), number);
         if (parsed.ec != std::errc() || parsed.ptr != value.data() + value.size() || number < 1
-            || number > mostNumber)
-            return "\"" + value + "\" is not a whole number from 1 to " + std::to_string(mostNumber);
+            || number > maxNumber)
+            return "\"" + value + "\" is not a whole number from 1 to " + std::to_string(maxNumber);
         if (key == "stop_limit_ms")
             options.stopLimit = milliseconds { number };
         else if (key == "lease_ttl_s")
@@ -134,7 +134,7 @@
     }
     const auto signals = stopSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    std::signal(SIGPIPE, SIG_IGN); // A caller that closes its connection must not end the process.
+    std::signal(SIGPIPE, SIG_IGN); // A caller that closes its connection must not terminate the process.
     startLogging(program, options.value().vm, parseLevel(options.value().logLevel));
     exitCode = 0;
     return options.value();
--- a/libs/node/src/rcu_cell.cpp
+++ b/libs/node/src/rcu_cell.cpp
@@ -28,9 +28,9 @@
 
 void rcu_cell::store(std::shared_ptr<const void> value)
 {
-    const std::scoped_lock lock(m_writers);
+    const std::scoped_lock lock(m_writeMutex);
     auto* old = m_holder.exchange(new holder { std::move(value) }, std::memory_order_acq_rel);
-    // A reader may be copying the old pointer: it is freed once all such readers have left.
+    // Readers may still be copying the old pointer, so it is freed after they have left their read sections.
     synchronize_rcu();
     delete old;
 }
--- a/libs/node/src/settings_view.cpp
+++ b/libs/node/src/settings_view.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Versions kept to tell others only what changed since: at 2,700 edits a day about four minutes.
-constexpr std::size_t keptVersions = 8;
+/// Earlier versions to keep, so that other processes can be sent only the changes since: at 2,700 edits a day
+/// these cover about four minutes.
+constexpr std::size_t maxEarlierVersions = 8;
 
 bulk_policy toPolicy(const request_settings& settings)
 {
@@ -26,7 +27,7 @@
     : tree(std::move(accepted))
 {
     std::map<std::pair<std::string, std::string>, std::size_t> counts;
-    // Targets come in order of their names, so a group's members change little when one is added.
+    // Targets are sorted by name, so adding one changes the members of a group little.
     for (const auto& target : listTargets(tree)) {
         const auto number = counts[{ target.service, target.zone }]++ / targetsPerGroup;
         const auto name = groupName(target.service, target.zone, number);
@@ -96,7 +97,7 @@
         return false;
     const auto version = tree.version;
     m_earlier.push_back(current());
-    if (m_earlier.size() > keptVersions)
+    if (m_earlier.size() > maxEarlierVersions)
         m_earlier.pop_front();
     m_cell.store(std::make_shared<const settings_view>(std::move(tree)));
     m_version.store(version, std::memory_order_release);
--- a/libs/node/tests/test_node.cpp
+++ b/libs/node/tests/test_node.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("a process's file is checked line by line")
+TEST_CASE("errors in a process's INI file name the line")
 {
     const std::string good = "[process]\nvm = a\nzone = z\nhttp = 127.0.0.1:1\nseeds = x:1, y:2\n";
     CHECK(optionsError(good).empty());
@@ -45,8 +45,8 @@
     CHECK(optionsError("[process]\nvm = a\n").find("zone: is missing") != std::string::npos);
 }
 
-// Story: a VM that was cut off hands its old settings to a VM that has the new ones, and an accepted edit is
-// undone. The version in force must only grow.
+// A VM that was partitioned passes its old settings to a VM that has newer ones, and undoes an accepted edit.
+// The version in force must never decrease.
 TEST_CASE("the settings in force never revert")
 {
     settings_cell cell;
@@ -62,9 +62,9 @@
     CHECK(cell.current()->tree.version == 6);
 }
 
-// Story: every edit sends the whole tree to every VM, and with thousands of customers that is most of what
-// control sends; or a VM that missed versions applies a part to the wrong tree.
-TEST_CASE("others are told only what changed since a version that was in force lately")
+// Guards against edits that send the whole tree to every VM, which with thousands of customers is most of the
+// control traffic, and against a VM that has missed versions and applies changes to the wrong tree.
+TEST_CASE("an update from a recent version contains only the changes")
 {
     settings_cell source;
     settings_cell follower;
@@ -97,7 +97,7 @@
     CHECK(!view.customerOf(""));
 }
 
-TEST_CASE("readers see whole values while a writer replaces them")
+TEST_CASE("readers see consistent values while a writer replaces them")
 {
     settings_cell cell;
     std::atomic<bool> stop { false };
@@ -123,7 +123,7 @@
 
 namespace {
 
-/// A dispatcher that does to each ask what the test says.
+/// A dispatcher whose reaction to each request is set by the test.
 class scripted_dispatcher final : public peer_handler {
 public:
     void sessionOpened(std::uint64_t, std::function<void(envelope)> send) override
@@ -133,8 +133,8 @@
     void sessionReceived(std::uint64_t, envelope message) override
     {
         const std::scoped_lock lock(mutex);
-        for (auto& ask : message.asks)
-            onAsk(ask, m_send);
+        for (auto& request : message.asks)
+            onSlotRequest(request, m_send);
         for (auto& release : message.releases)
             releases.push_back(release);
         for (auto& withdrawal : message.withdrawals)
@@ -145,7 +145,7 @@
     follow_reply follow(const follow_request&) override { return {}; }
     std::optional<settings_update> pull(std::int64_t) override { return std::nullopt; }
 
-    std::function<void(ask_message&, const std::function<void(envelope)>&)> onAsk;
+    std::function<void(ask_message&, const std::function<void(envelope)>&)> onSlotRequest;
     std::mutex mutex;
     std::vector<release_message> releases;
     std::vector<std::uint64_t> withdrawn;
@@ -164,11 +164,11 @@
 
     fixture() { grants.setLocal("local", dispatcher); }
 
-    slot_request ask(milliseconds wait = 5s) const
+    slot_request request(milliseconds wait = 5s) const
     {
-        slot_request ask;
-        ask.deadline = std::chrono::steady_clock::now() + wait;
-        return ask;
+        slot_request request;
+        request.deadline = std::chrono::steady_clock::now() + wait;
+        return request;
     }
 };
 
@@ -177,13 +177,13 @@
 TEST_CASE("a grant is given, revoked in the same envelope, and released")
 {
     fixture f;
-    f.dispatcher.onAsk = [](ask_message& ask, const auto& send) {
+    f.dispatcher.onSlotRequest = [](ask_message& request, const auto& send) {
         envelope answer;
-        answer.grants.push_back({ 0, ask.ask.id, 7, "t", "a:1", 3ms });
-        answer.revokes.push_back({ ask.group, 7 });
+        answer.grants.push_back({ 0, request.ask.id, 7, "t", "a:1", 3ms });
+        answer.revokes.push_back({ request.group, 7 });
         send(std::move(answer));
     };
-    const auto grant = f.grants.acquire("g", "z", f.ask());
+    const auto grant = f.grants.acquire("g", "z", f.request());
     REQUIRE(grant);
     CHECK(grant.value().address == "a:1");
     CHECK(grant.value().revoked->requested());
@@ -195,40 +195,41 @@
     CHECK(f.dispatcher.releases[0].release.grantId == 7);
 }
 
-// Story: a dispatcher's process is stopped but its connection stays open; callers wait for it until their
-// timeout although targets are idle. Silence must be told from a queue.
-TEST_CASE("a silent dispatcher is given up soon, a queue that acknowledges is waited for")
+// A dispatcher's process is frozen, but its connection stays open. Guards against callers that wait for it
+// until their timeout although targets are idle: an unresponsive dispatcher must be distinguished from a
+// queue.
+TEST_CASE("an unresponsive dispatcher is given up soon, an acknowledged request waits in the queue")
 {
     fixture f;
-    f.dispatcher.onAsk = [](ask_message&, const auto&) {};
-    const auto silent = f.grants.acquire("g", "z", f.ask());
-    REQUIRE(!silent);
-    CHECK(silent.error().kind == failure_kind::unavailable);
+    f.dispatcher.onSlotRequest = [](ask_message&, const auto&) {};
+    const auto unresponsive = f.grants.acquire("g", "z", f.request());
+    REQUIRE(!unresponsive);
+    CHECK(unresponsive.error().kind == failure_kind::unavailable);
     CHECK(f.unreachable.size() == 1);
     CHECK(f.dispatcher.withdrawn.size() == 1);
-    f.dispatcher.onAsk = [](ask_message& ask, const auto& send) {
+    f.dispatcher.onSlotRequest = [](ask_message& request, const auto& send) {
         envelope answer;
-        answer.moved.push_back({ ask.ask.id, "" });
+        answer.moved.push_back({ request.ask.id, "" });
         send(std::move(answer));
     };
-    const auto queued = f.grants.acquire("g", "z", f.ask(600ms));
+    const auto queued = f.grants.acquire("g", "z", f.request(600ms));
     REQUIRE(!queued);
     CHECK(queued.error().kind == failure_kind::overloaded);
     CHECK(f.unreachable.size() == 1);
 }
 
-// Story: a grant arrives after its caller has given up; nobody uses it and nobody releases it, and a place at
-// the target stays empty until it lapses.
-TEST_CASE("a grant that comes too late goes back at once")
+// A grant arrives after its caller has given up. Unless it is released, the slot at the target stays empty
+// until the grant expires.
+TEST_CASE("a grant that arrives too late is released at once")
 {
     fixture f;
     std::uint64_t late = 0;
     std::function<void(envelope)> sendLate;
-    f.dispatcher.onAsk = [&](ask_message& ask, const auto& send) {
-        late = ask.ask.id;
+    f.dispatcher.onSlotRequest = [&](ask_message& request, const auto& send) {
+        late = request.ask.id;
         sendLate = send;
     };
-    CHECK(!f.grants.acquire("g", "z", f.ask()));
+    CHECK(!f.grants.acquire("g", "z", f.request()));
     envelope answer;
     answer.grants.push_back({ 0, late, 9, "t", "a:1", 0ms });
     sendLate(std::move(answer));
