--- a/libs/places/src/limit_gate.h
+++ b/libs/places/src/limit_gate.h
@@ -23,7 +23,7 @@
 
     /// Takes a token for the slot request, or returns the reason for refusing it.
     std::optional<failure> admit(const slot_request& request, steady_time now);
-    /// The slot request was granted.
+    /// The slot request was granted: from now on only released() refunds its token.
     void granted(std::uint64_t session, std::uint64_t slotRequestId);
     /// The slot request was refused or withdrawn: its token is refunded.
     void dropped(std::uint64_t session, std::uint64_t slotRequestId, steady_time now);
