--- a/libs/limits/include/limits/limits.h
+++ b/libs/limits/include/limits/limits.h
@@ -13,18 +13,19 @@
 #include <variant>
 #include <vector>
 
-/// Customers' rate limits over all processes that grant places, without a call to anybody on a request's
-/// path. Layer: coordination. Pure decisions: no I/O, no clock, not thread-safe.
+/// Distributed rate limiting: enforces customers' limits across all processes that grant slots, without a
+/// remote call on a request's path. Layer: coordination. Decision logic only: no I/O, never reads the clock,
+/// not thread-safe.
 namespace yuccachute {
 
-/// A customer's limit: so many requests a second, and `burst` on top.
+/// A customer's rate limit: `perSecond` requests per second on average, and a burst of `burst` in addition.
 struct request_limit {
     double perSecond = 0;
     double burst = 0;
 };
 
-/// What is allowed of a customer in any span of `window`:
-/// (perSecond x window + burst) x (1 + overshoot) + slack requests.
+/// Upper bound on the requests granted to a customer in any time span of length `window`:
+/// (perSecond x window + burst) x (1 + overshoot) + slack.
 struct limit_bounds {
     std::chrono::duration<double> window { 5 };
     double overshoot = 0.1;
@@ -36,99 +37,102 @@
     }
 };
 
-/// Baseline: each availability zone has the same part of each limit, and a process grants its zone's part as
-/// if it were alone there. Nothing is said between processes.
+/// Baseline policy: each availability zone has the same share of each limit, and a process grants the share
+/// of its zone as if it were the only one there. Processes exchange no messages.
 struct even_shares { };
 
-/// Each process owns the same part of each limit and lends it to those that are asked for tokens.
+/// Each process owns the same share of each limit and lends it to the processes that grant requests.
 struct lent_shares { };
 
 using limit_policy = std::variant<even_shares, lent_shares>;
 
-/// A process that may grant places, as the fleet lists it.
+/// A process that may grant slots, as listed in the member list of the fleet.
 struct limit_member {
     std::string vm;
     std::string zone;
     bool leaving = false;
-    /// Otherwise its registration has lapsed, and only the record is left that it may own a part.
+    /// False if the registration has lapsed and only the record remains that the process may own a share.
     bool registered = true;
-    std::string address = {}; ///< host:port, for messages to it.
+    std::string address = {}; ///< host:port at which it receives messages.
 };
 
-/// Which members a process hears.
+/// From which members a process currently receives messages.
 struct reachability_report {
-    bool hasMajority
-        = false; ///< More than half of all, itself among them; otherwise nothing is said of them.
-    std::vector<std::string> unresponsive; ///< VMs of those that it does not hear.
+    /// Whether it receives messages from more than half of all members, counting itself. Otherwise
+    /// `unresponsive` is empty.
+    bool hasMajority = false;
+    std::vector<std::string> unresponsive; ///< VMs of the members from which no message arrived lately.
 
     bool operator==(const reachability_report&) const = default;
 };
 
-/// Asks a member for a loan of its part of the limits. Processes that grant send it to all members at an
-/// interval; processes that have just started do so to hear who knows of them.
+/// Requests a loan of a member's share of the limits. Granting processes send it to all members periodically;
+/// processes that have just started send it to learn which members count them.
 struct share_request {
-    std::uint64_t stamp = 0; ///< Time of the sender's clock, echoed in the answer.
-    bool borrows = false; ///< Whether the sender grants. Otherwise it wants to be known, and no loan.
-    reachability_report reachability; ///< Told now and then.
+    std::uint64_t stamp = 0; ///< Sender's clock, echoed in the answer.
+    bool borrows = false; ///< Whether the sender wants a loan. If not, it only announces itself.
+    reachability_report reachability; ///< Filled in only once per report interval.
 
     bool operator==(const share_request&) const = default;
 };
 
-/// How full a lender's bucket of a customer is.
+/// Fill level of a lender's bucket for one customer.
 struct bucket_fill {
-    std::uint64_t customer = 0; ///< Hash of the name.
+    std::uint64_t customer = 0; ///< Hash of the customer's name.
     std::uint32_t percent = 0;
 
     bool operator==(const bucket_fill&) const = default;
 };
 
-/// Answers `share_request`: the borrower may use `share` of each limit until `validFor` after it asked. The
-/// lender counts it as lent for as long after it answered, which is later.
+/// Answers `share_request`: the borrower may use `share` of each limit until `validFor` after it sent the
+/// request. The lender counts the share as lent until `validFor` after its answer, so the loan always ends at
+/// the borrower first.
 struct share_loan {
-    std::uint64_t borrowerIncarnation = 0; ///< The loan is void for any other.
+    std::uint64_t borrowerIncarnation = 0; ///< The loan is invalid for any other incarnation.
     std::uint64_t requestStamp = 0;
     milliseconds validFor { 0 };
-    double share = 0; ///< In place of what the lender lent before.
-    double added = 0; ///< Of `share`, what is new and brings its share of the tokens along.
-    std::uint32_t fillPercent = 0; ///< Of the lender's buckets, except `emptier`.
+    double share = 0; ///< Replaces the lender's earlier loan.
+    /// The part of `share` that the borrower did not hold before. Tokens are transferred along with it.
+    double added = 0;
+    std::uint32_t fillPercent = 0; ///< Fill level of the lender's buckets that are not in `emptier`.
     std::vector<bucket_fill> emptier;
-    /// What the lender owns and has lent takes the borrower into account as a member.
+    /// Whether the lender's own share and its loans already account for the borrower as a member.
     bool settled = false;
-    /// The lender does not know yet whether the borrower counts it as a member: it wants the same answer.
+    /// Whether the lender still needs the borrower's confirmation that it counts the lender as a member.
     bool wantsAnswer = false;
 
     bool operator==(const share_loan&) const = default;
 };
 
-/// Tokens of one customer that a process holds, and may hold by its part of the limit.
-struct customer_level {
-    std::uint64_t customer = 0; ///< Hash of the name.
+/// Tokens that a process holds for one customer, and its capacity according to its share of the limit.
+struct customer_token_level {
+    std::uint64_t customer = 0; ///< Hash of the customer's name.
     double tokens = 0;
     double capacity = 0;
 
-    bool operator==(const customer_level&) const = default;
+    bool operator==(const customer_token_level&) const = default;
 };
 
-/// Tells other granting processes of buckets that are running low.
+/// Requests tokens from the other granting processes for buckets that are running low.
 struct token_request {
-    std::uint64_t stamp = 0; ///< Time of the sender's clock, echoed in the answer.
-    std::vector<customer_level> levels;
+    std::uint64_t stamp = 0; ///< Sender's clock, echoed in the answer.
+    std::vector<customer_token_level> levels;
 
     bool operator==(const token_request&) const = default;
 };
 
 struct customer_tokens {
-    std::uint64_t customer = 0; ///< Hash of the name.
+    std::uint64_t customer = 0; ///< Hash of the customer's name.
     double tokens = 0;
-    double room = 0; ///< Capacity that goes along, for as long as a loan.
+    double room = 0; ///< Bucket capacity lent with the tokens.
 
     bool operator==(const customer_tokens&) const = default;
 };
 
-/// Answers `token_request` with tokens that the sender has taken out of its own buckets.
+/// Answers `token_request` with tokens that the sender has removed from its own buckets.
 struct token_transfer {
     std::uint64_t requestStamp = 0;
-    milliseconds roomValidFor { 0 }; ///< Since the request.
+    milliseconds roomValidFor { 0 }; ///< Validity of the lent capacity, from the request's stamp.
     std::vector<customer_tokens> tokens;
 
     bool operator==(const token_transfer&) const = default;
@@ -137,8 +141,8 @@
 using limit_message_body = std::variant<share_request, share_loan, token_request, token_transfer>;
 
 struct limit_message {
-    std::string vm; ///< Of the sender.
-    std::uint64_t incarnation = 0; ///< Different at each start of the process.
+    std::string vm; ///< VM of the sender.
+    std::uint64_t incarnation = 0; ///< Unique for each start of the sending process.
     limit_message_body body;
 
     bool operator==(const limit_message&) const = default;
@@ -149,14 +153,14 @@
 class share_borrower;
 class request_bucket;
 
-/// Decides whether a customer's next request is within its limit.
+/// Decides whether a customer's next request is within its rate limit.
 ///
-/// Each member owns a part of every limit. The parts of all processes add up to one at most, whatever list of
-/// members each of them knows. A process that grants borrows the members' parts for a moment at a time; who
-/// does not answer lends nothing, and has its part back once the loan has run out. Tokens flow into a
-/// process's buckets by the part that it holds, and are passed on to a process that needs them: the sender
-/// takes them out first. So what is lost on the way is never granted, and nothing is granted twice, whoever
-/// hears whom.
+/// Each member owns a share of every limit. The shares of all processes add up to at most one, even if their
+/// member lists differ. A granting process borrows the other members' shares in short-lived loans: a member
+/// that does not answer lends nothing, and gets its share back when the loan expires. A process's buckets
+/// refill in proportion to the share that it holds. Tokens are transferred to processes that run low: the
+/// sender removes them before it sends them. Lost messages therefore only lose tokens, and no token is
+/// granted twice, whichever processes can reach each other.
 class distributed_rate_limiter {
 public:
     distributed_rate_limiter(
@@ -165,50 +169,54 @@
     distributed_rate_limiter(distributed_rate_limiter&&) noexcept;
     distributed_rate_limiter& operator=(distributed_rate_limiter&&) noexcept;
 
-    /// Takes the limits over. A customer whose limit changes keeps what it has used.
+    /// Replaces the limits. The bucket of a customer whose limit changes keeps its level.
     void setCustomers(const customer_directory& customers, steady_time now);
-    /// All processes that may grant places; this one is among them once it has decided to register itself.
-    /// Who is not named any more owns nothing.
+    /// Sets all processes that may grant slots; they include this one once it has decided to register itself.
+    /// A process that is no longer in the list owns nothing.
     void setMembers(std::span<const limit_member> members, steady_time now);
-    /// Whether this process knows what the platform's store holds, by itself or through others.
-    void setStoreReachable(bool reached, steady_time now);
-    /// Whether this process is the one that is asked for tokens. It borrows before the first request comes.
-    void setIsDispatcher(bool dispatches, steady_time now);
-    /// This process is going to stop, and gives up the part that it owns. To be called before others are
-    /// told.
+    /// Whether this process has current data of the platform's store, read by itself or received from peers.
+    void setStoreReachable(bool reachable, steady_time now);
+    /// Whether this process is a dispatcher, and thus grants requests. A dispatcher borrows shares even
+    /// before its first request.
+    void setIsDispatcher(bool isDispatcher, steady_time now);
+    /// Gives up the share that this process owns, because it is going to stop. Must be called before the
+    /// other members are notified.
     void leave(steady_time now);
 
-    /// Members that were away for so long that they are taken for ended since the last call. The record that
-    /// they may own a part is not needed any more.
+    /// Returns the members that have been treated as terminated since the last call, because they were
+    /// unreachable for too long. Their share records can be deleted.
     std::vector<std::string> takeExpiredMembers();
 
     /// Whether any customer has a limit.
     bool hasLimits() const { return !m_buckets.empty(); }
+    /// Whether this customer has a limit.
     bool limits(std::string_view customer) const;
-    /// Takes a token for one send of a request. Returns zero, or the time after which to come back. `begun`:
-    /// the request has run in part elsewhere; it is granted on credit, as far as that goes.
-    milliseconds tryAcquire(std::string_view customer, bool begun, steady_time now);
-    /// A token that was taken was not used.
+    /// Takes a token for one attempt of a request. Returns zero on success, or the time after which to retry.
+    /// A continuation is a request that has already run in part elsewhere: it may overdraw the bucket within
+    /// its credit.
+    milliseconds tryAcquire(std::string_view customer, bool isContinuation, steady_time now);
+    /// Returns a token that was acquired but not used.
     void refund(std::string_view customer, steady_time now);
 
-    /// Whether another process has asked for loans lately.
+    /// Whether another process has requested loans lately.
     bool isGranting(std::string_view vm, steady_time now) const;
-    /// Whether this process may not grant yet, or only since so short a time that loans are on their way.
+    /// Whether this process holds no share yet, or became active so recently that loans may still be in
+    /// flight.
     bool isAwaitingLoans(steady_time now);
-    /// What all members are to be asked now.
+    /// Returns the request to send to all members now, if one is due.
     std::optional<limit_message> nextShareRequest(steady_time now);
-    /// What other granting processes are to be asked now.
+    /// Returns the request to send to the other granting processes now, if one is due.
     std::optional<limit_message> nextTokenRequest(steady_time now);
-    /// Takes a message from another process; returns the answer to it.
+    /// Processes a message from another process; returns the answer to send, if any.
     std::optional<limit_message> handleMessage(const limit_message& message, steady_time now);
 
-    /// What of each limit this process may grant, from 0 to 1.
+    /// The share of each limit that this process may grant, from 0 to 1.
     double share(steady_time now);
 
-    /// Requests that were refused since the start.
+    /// Number of requests refused since the process started.
     std::uint64_t refused() const { return m_refused; }
 
-    /// A customer's use, for metrics.
+    /// State of a customer's bucket, for metrics.
     struct usage {
         double level = 0;
         double capacity = 0;
@@ -216,37 +224,38 @@
     std::optional<usage> usageOf(std::string_view customer, steady_time now);
 
 private:
-    /// Whether it has been asked for tokens lately.
-    bool active(steady_time now) const;
-    milliseconds askInterval() const;
-    milliseconds nextAskAfter(steady_time now);
-    milliseconds loanTime() const;
-    /// Whether it says nothing to others: it shares no part with them, or may not grant.
-    bool isSilent() const;
-    /// Brings the part up to date, unless that was done a moment ago.
-    void refreshPart(steady_time now);
-    void updatePart(steady_time now);
-    double computePart(steady_time now);
-    void fillAtStart();
+    /// Whether this process is a dispatcher or has had requests for tokens lately.
+    bool isActive(steady_time now) const;
+    milliseconds shareRequestInterval() const;
+    milliseconds shareRequestDelay(steady_time now);
+    milliseconds loanDuration() const;
+    /// Whether this process sends no messages, because its policy lends no shares or it is not a member yet.
+    bool sendsNothing() const;
+    /// Recomputes the share, unless that was done less than `shareUpdateInterval` ago.
+    void refreshShare(steady_time now);
+    void updateShare(steady_time now);
+    double computeShare(steady_time now);
+    void addStartupTokens();
     bool settled(steady_time now);
-    void notice(const limit_message& message, steady_time now);
-    std::optional<limit_message> answer(const limit_message& from, const share_request& ask, steady_time now);
+    void recordSender(const limit_message& message, steady_time now);
+    std::optional<limit_message> answer(
+        const limit_message& from, const share_request& request, steady_time now);
     std::optional<limit_message> answer(const limit_message& from, const share_loan& loan, steady_time now);
     std::optional<limit_message> answer(
         const limit_message& from, const token_request& request, steady_time now);
     std::optional<limit_message> answer(
         const limit_message& from, const token_transfer& transfer, steady_time now);
-    void moveTokens(share_loan& loan, steady_time now);
-    void receiveTokens(const share_loan& loan, steady_time now);
-    milliseconds promise(request_bucket& bucket, double missing, steady_time now);
-    /// That borrow from this one, itself included.
-    double grantingProcesses(steady_time now) const;
-    limit_message messageWith(limit_message_body body) const;
+    void attachTokens(share_loan& loan, steady_time now);
+    void addLoanedTokens(const share_loan& loan, steady_time now);
+    milliseconds reserveRetryTime(request_bucket& bucket, double missing, steady_time now);
+    /// Number of processes that borrow from this one, plus one if this process grants itself.
+    double grantingProcessCount(steady_time now) const;
+    limit_message makeMessage(limit_message_body body) const;
 
     struct peer_state {
         std::uint64_t incarnation = 0;
-        std::uint64_t former = 0; ///< Incarnation before that: messages of it may still arrive.
-        std::uint64_t lastTransfer = 0; ///< Stamp of the request that it answered last with tokens.
+        std::uint64_t previousIncarnation = 0; ///< Its messages may still arrive, and are ignored.
+        std::uint64_t lastTransferStamp = 0; ///< Request stamp of the peer's latest token transfer.
     };
 
     std::string m_vm;
@@ -259,16 +268,16 @@
     std::unique_ptr<share_borrower> m_borrower;
     std::map<std::string, peer_state, std::less<>> m_peers; ///< By VM.
     std::uint64_t m_refused = 0;
-    double m_part = 0;
-    double m_owned = 0; ///< Of that, what belongs to this process.
-    bool m_dispatches = false;
-    double m_filledPart = 0; ///< For which the buckets have got what a process starts with.
-    steady_time m_partComputed;
-    steady_time m_lastTake;
-    steady_time m_activeSince; ///< It was asked for tokens ever since.
-    steady_time m_lastAsk;
-    steady_time m_lastSurvey;
-    steady_time m_lastRequest;
+    double m_share = 0;
+    double m_ownShare = 0; ///< The share that this process owns, including what it has lent.
+    bool m_isDispatcher = false;
+    double m_startupShare = 0; ///< The share for which the buckets have received their startup tokens.
+    steady_time m_shareUpdatedAt;
+    steady_time m_lastAcquire;
+    steady_time m_activeSince; ///< Start of the current active period.
+    steady_time m_lastShareRequest;
+    steady_time m_lastReachabilityReport;
+    steady_time m_lastTokenRequest;
 };
 
 } // namespace yuccachute
--- a/libs/limits/src/fleet_limits.cpp
+++ b/libs/limits/src/fleet_limits.cpp
@@ -13,52 +13,54 @@
 
 namespace {
 
-/// Processes that grant ask all members for loans at this interval. Beyond so many members it grows with
-/// them, and what a process sends does not.
-constexpr milliseconds shortestAskInterval { 100 };
-/// While the first loans are awaited: of the interval.
-constexpr double firstAsksInterval = 0.25;
-constexpr milliseconds longestAskInterval { 750 };
-constexpr std::size_t membersAtShortestInterval = 16;
-/// In intervals: two answers may be lost or late.
-constexpr int loanIntervals = 4;
-constexpr milliseconds shortestLoan { 600 };
-/// A process grants until it has not been asked for so long. Customers that send little come again within it,
-/// and find the tokens at the process that they come to.
-constexpr milliseconds grantingFor { 30000 };
-constexpr milliseconds partInterval { 20 };
-constexpr milliseconds requestInterval { 40 };
-constexpr milliseconds surveyInterval { 1000 };
-/// Of its capacity, below which others are asked to fill a bucket up.
-constexpr double lowLevel = 0.5;
-/// A process that was not asked for a customer's tokens so long can do without them.
-constexpr milliseconds unusedAfter { 100 };
-/// A process whose bucket runs low says so several times within this time.
-constexpr milliseconds lowFor { 500 };
-constexpr milliseconds leastReturn { 50 };
-constexpr milliseconds longestReturn { 5000 };
-/// When to ask a process again that may not grant yet.
-constexpr milliseconds noPartRetry { 250 };
-/// Differences of parts that are rounding errors.
-constexpr double noPart = 1e-9;
-
-/// The tokens of a part of the limit.
-double tokensOf(const request_bucket& bucket, double share, std::uint32_t fillPercent)
+/// Granting processes request loans from all members at this interval. Above `membersAtMinInterval` members
+/// the interval grows in proportion, so that a process's message rate stays constant.
+constexpr milliseconds minShareRequestInterval { 100 };
+/// Shortens the interval until the first loans have arrived.
+constexpr double startupIntervalFactor = 0.25;
+constexpr milliseconds maxShareRequestInterval { 750 };
+constexpr std::size_t membersAtMinInterval = 16;
+/// Duration of a loan in request intervals, so that two answers may be lost or late.
+constexpr int loanDurationIntervals = 4;
+constexpr milliseconds minLoanDuration { 600 };
+/// A process stops borrowing after this time without requests. Customers with a low rate send their next
+/// request within it, and find their tokens at the process that receives it.
+constexpr milliseconds activeTimeout { 30000 };
+constexpr milliseconds shareUpdateInterval { 20 };
+constexpr milliseconds tokenRequestInterval { 40 };
+constexpr milliseconds reachabilityReportInterval { 1000 };
+/// Below this fraction of a bucket's capacity, peers are asked for tokens.
+constexpr double lowLevelFraction = 0.5;
+/// A bucket without requests for this time gives a peer enough for one token, even beyond an even split.
+constexpr milliseconds bucketIdleAfter { 100 };
+/// A peer's report of a low bucket is valid for this time. The peer repeats it several times within it.
+constexpr milliseconds lowLevelValidFor { 500 };
+constexpr milliseconds minRetryAfter { 50 };
+constexpr milliseconds maxRetryAfter { 5000 };
+/// Retry delay of requests at a process that may not grant yet.
+constexpr milliseconds noShareRetryAfter { 250 };
+/// Smaller differences of shares are rounding errors.
+constexpr double shareEpsilon = 1e-9;
+
+/// Tokens of a bucket that belong to a share of the limit, at a given fill level.
+double tokensForShare(const request_bucket& bucket, double share, std::uint32_t fillPercent)
 {
     return bucket.fullCapacity() * share * fillPercent / 100.0;
 }
 
-/// How many tokens to pass on, so that `users` processes that each answer alike hold equally many.
-double tokensToPass(const request_bucket& bucket, const customer_level& theirs, double users, steady_time now)
+/// Number of tokens to transfer to a peer, so that all `users` granting processes, each applying this rule,
+/// end up with equally many.
+double tokensToTransfer(
+    const request_bucket& bucket, const customer_token_level& theirs, double users, steady_time now)
 {
     const double own = std::max(0.0, bucket.level());
     const double even = (own - theirs.tokens) / users;
     const double missing = 1 - theirs.tokens;
-    const bool unused = now - bucket.lastTake > unusedAfter;
-    // Fractions of a token are not worth a message, but for a process that has not even one.
+    const bool idle = now - bucket.lastAcquire > bucketIdleAfter;
+    // Less than one token is worth a message only if the peer has less than one token.
     if (even < 1 && missing <= 0)
         return 0;
-    return std::min(unused ? std::max(even, missing) : even, own);
+    return std::min(idle ? std::max(even, missing) : even, own);
 }
 
 } // namespace
@@ -81,7 +83,7 @@
 
 void distributed_rate_limiter::setCustomers(const customer_directory& customers, steady_time now)
 {
-    updatePart(now);
+    updateShare(now);
     std::set<std::uint64_t> limited;
     for (const auto& customer : customers.all()) {
         if (customer.requestsPerSecond <= 0)
@@ -89,7 +91,7 @@
         const auto hash = hashText(customer.name);
         const request_limit limit { customer.requestsPerSecond, customer.burst };
         limited.insert(hash);
-        const auto [bucket, added] = m_buckets.try_emplace(hash, limit, m_bounds, m_part, now);
+        const auto [bucket, added] = m_buckets.try_emplace(hash, limit, m_bounds, m_share, now);
         if (!added)
             bucket->second.setLimit(limit);
     }
@@ -104,149 +106,152 @@
 void distributed_rate_limiter::setMembers(std::span<const limit_member> members, steady_time now)
 {
     m_roster->setMembers(members, now);
-    updatePart(now);
+    updateShare(now);
 }
 
-void distributed_rate_limiter::setStoreReachable(bool reached, steady_time now)
+void distributed_rate_limiter::setStoreReachable(bool reachable, steady_time now)
 {
-    m_roster->setStoreReachable(reached, now);
-    updatePart(now);
+    m_roster->setStoreReachable(reachable, now);
+    updateShare(now);
 }
 
-void distributed_rate_limiter::setIsDispatcher(bool dispatches, steady_time now)
+void distributed_rate_limiter::setIsDispatcher(bool isDispatcher, steady_time now)
 {
-    if (dispatches && !active(now))
+    if (isDispatcher && !isActive(now))
         m_activeSince = now;
-    m_dispatches = dispatches;
+    m_isDispatcher = isDispatcher;
 }
 
 std::vector<std::string> distributed_rate_limiter::takeExpiredMembers()
 {
-    return m_roster->takeLost();
+    return m_roster->takeExpired();
 }
 
 void distributed_rate_limiter::leave(steady_time now)
 {
     m_roster->leave();
-    updatePart(now);
+    updateShare(now);
 }
 
-bool distributed_rate_limiter::active(steady_time now) const
+bool distributed_rate_limiter::isActive(steady_time now) const
 {
-    return m_dispatches || (m_lastTake != steady_time {} && now - m_lastTake <= grantingFor);
+    return m_isDispatcher || (m_lastAcquire != steady_time {} && now - m_lastAcquire <= activeTimeout);
 }
 
-milliseconds distributed_rate_limiter::askInterval() const
+milliseconds distributed_rate_limiter::shareRequestInterval() const
 {
-    const auto members = static_cast<std::int64_t>(std::max(m_roster->size(), membersAtShortestInterval));
+    const auto members = static_cast<std::int64_t>(std::max(m_roster->size(), membersAtMinInterval));
     return std::min<milliseconds>(
-        shortestAskInterval * members / membersAtShortestInterval, longestAskInterval);
+        minShareRequestInterval * members / membersAtMinInterval, maxShareRequestInterval);
 }
 
-milliseconds distributed_rate_limiter::nextAskAfter(steady_time now)
+milliseconds distributed_rate_limiter::shareRequestDelay(steady_time now)
 {
-    const bool hurries = m_roster->starting(now) || (active(now) && isAwaitingLoans(now));
-    return hurries ? std::chrono::duration_cast<milliseconds>(askInterval() * firstAsksInterval)
-                   : askInterval();
+    const bool shortened = m_roster->needsConfirmations(now) || (isActive(now) && isAwaitingLoans(now));
+    return shortened
+        ? std::chrono::duration_cast<milliseconds>(shareRequestInterval() * startupIntervalFactor)
+        : shareRequestInterval();
 }
 
-milliseconds distributed_rate_limiter::loanTime() const
+milliseconds distributed_rate_limiter::loanDuration() const
 {
-    return std::max(askInterval() * loanIntervals, shortestLoan);
+    return std::max(shareRequestInterval() * loanDurationIntervals, minLoanDuration);
 }
 
 bool distributed_rate_limiter::isAwaitingLoans(steady_time now)
 {
-    return share(now) <= 0 || now - m_activeSince <= loanTime();
+    return share(now) <= 0 || now - m_activeSince <= loanDuration();
 }
 
 double distributed_rate_limiter::share(steady_time now)
 {
-    refreshPart(now);
-    return m_part;
+    refreshShare(now);
+    return m_share;
 }
 
-void distributed_rate_limiter::refreshPart(steady_time now)
+void distributed_rate_limiter::refreshShare(steady_time now)
 {
-    if (m_partComputed == steady_time {} || now - m_partComputed >= partInterval)
-        updatePart(now);
+    if (m_shareUpdatedAt == steady_time {} || now - m_shareUpdatedAt >= shareUpdateInterval)
+        updateShare(now);
 }
 
-void distributed_rate_limiter::updatePart(steady_time now)
+void distributed_rate_limiter::updateShare(steady_time now)
 {
-    m_partComputed = now;
-    const double share = computePart(now);
-    if (std::abs(share - m_part) > noPart) {
-        m_part = share;
+    m_shareUpdatedAt = now;
+    const double share = computeShare(now);
+    if (std::abs(share - m_share) > shareEpsilon) {
+        m_share = share;
         for (auto& [customer, bucket] : m_buckets)
-            bucket.setPart(share, now);
+            bucket.setShare(share, now);
     }
-    fillAtStart();
+    addStartupTokens();
 }
 
-double distributed_rate_limiter::computePart(steady_time now)
+double distributed_rate_limiter::computeShare(steady_time now)
 {
-    // Until it has registered itself, others do not know that it grants.
-    m_owned = m_roster->ownPart(loanTime(), now);
+    // Other members do not know that this process grants until it has registered itself.
+    m_ownShare = m_roster->ownShare(loanDuration(), now);
     if (std::holds_alternative<even_shares>(m_policy))
-        return m_roster->knowsSelf() ? 1.0 / static_cast<double>(m_roster->zones()) : 0;
-    return std::max(0.0, m_owned - m_lender->lent(now)) + m_borrower->borrowed(now);
+        return m_roster->includesSelf() ? 1.0 / static_cast<double>(m_roster->zones()) : 0;
+    return std::max(0.0, m_ownShare - m_lender->lent(now)) + m_borrower->borrowed(now);
 }
 
-/// The part that a process owns grows while it starts, as one member after the other is heard.
-void distributed_rate_limiter::fillAtStart()
+/// Adds startup tokens for each increase of the owned share, which grows with each member's confirmation.
+void distributed_rate_limiter::addStartupTokens()
 {
-    const double owned = std::holds_alternative<even_shares>(m_policy) ? m_part : m_owned;
-    if (owned <= m_filledPart || (m_filledPart > 0 && !m_roster->isNew(m_partComputed)))
+    const double owned = std::holds_alternative<even_shares>(m_policy) ? m_share : m_ownShare;
+    if (owned <= m_startupShare || (m_startupShare > 0 && !m_roster->isStarting(m_shareUpdatedAt)))
         return;
     for (auto& [customer, bucket] : m_buckets)
-        bucket.add(bucket.startLevel() * (owned - m_filledPart));
-    m_filledPart = owned;
+        bucket.add(bucket.startLevel() * (owned - m_startupShare));
+    m_startupShare = owned;
 }
 
 bool distributed_rate_limiter::settled(steady_time now)
 {
-    return m_lender->lent(now) <= m_owned + noPart;
+    return m_lender->lent(now) <= m_ownShare + shareEpsilon;
 }
 
-milliseconds distributed_rate_limiter::tryAcquire(std::string_view customer, bool begun, steady_time now)
+milliseconds distributed_rate_limiter::tryAcquire(
+    std::string_view customer, bool isContinuation, steady_time now)
 {
     const auto found = m_buckets.find(hashText(customer));
     if (found == m_buckets.end())
         return milliseconds { 0 };
     auto& bucket = found->second;
-    if (!active(now))
+    if (!isActive(now))
         m_activeSince = now;
-    m_lastTake = now;
-    if (!m_roster->knowsSelf())
-        return noPartRetry;
-    refreshPart(now);
-    bucket.asked = true;
-    bucket.lastTake = now;
+    m_lastAcquire = now;
+    if (!m_roster->includesSelf())
+        return noShareRetryAfter;
+    refreshShare(now);
+    bucket.usedSinceRequest = true;
+    bucket.lastAcquire = now;
     bucket.advance(now);
-    const double wanted = begun ? 1 - bucket.credit() : 1;
-    if (bucket.level() < wanted)
-        return promise(bucket, wanted - bucket.level(), now);
+    const double needed = isContinuation ? 1 - bucket.credit() : 1;
+    if (bucket.level() < needed)
+        return reserveRetryTime(bucket, needed - bucket.level(), now);
     bucket.remove(1);
     return milliseconds { 0 };
 }
 
-/// Those that are refused come back one after the other, as tokens flow in.
-milliseconds distributed_rate_limiter::promise(request_bucket& bucket, double missing, steady_time now)
+/// Assigns successive retry times to refused requests, spaced by the refill interval of a token.
+milliseconds distributed_rate_limiter::reserveRetryTime(
+    request_bucket& bucket, double missing, steady_time now)
 {
     ++m_refused;
-    // Others pass on what flows in at them, unless they need it themselves.
-    const bool othersLow = now - bucket.othersLowAt <= lowFor;
-    const double inflow = othersLow ? m_part : std::min(1.0, m_part * grantingProcesses(now));
+    // Peers transfer the tokens that refill their buckets, unless they run low themselves.
+    const bool peersLow = now - bucket.peersLowAt <= lowLevelValidFor;
+    const double inflow = peersLow ? m_share : std::min(1.0, m_share * grantingProcessCount(now));
     const double perSecond = std::max(bucket.limit().perSecond * inflow, 1e-3);
     const auto after = [&](steady_time from, double tokens) {
         return from
             + std::chrono::duration_cast<steady_time::duration>(std::chrono::duration<double>(
-                std::min(tokens / perSecond, std::chrono::duration<double>(longestReturn).count())));
+                std::min(tokens / perSecond, std::chrono::duration<double>(maxRetryAfter).count())));
     };
-    bucket.promisedUntil = std::max(after(now, missing), after(bucket.promisedUntil, 1));
-    bucket.promisedUntil = std::min(bucket.promisedUntil, now + longestReturn);
-    return std::max(leastReturn, std::chrono::duration_cast<milliseconds>(bucket.promisedUntil - now));
+    bucket.lastRetryAt = std::max(after(now, missing), after(bucket.lastRetryAt, 1));
+    bucket.lastRetryAt = std::min(bucket.lastRetryAt, now + maxRetryAfter);
+    return std::max(minRetryAfter, std::chrono::duration_cast<milliseconds>(bucket.lastRetryAt - now));
 }
 
 void distributed_rate_limiter::refund(std::string_view customer, steady_time now)
@@ -263,111 +268,112 @@
     return m_lender->lendsTo(vm, now);
 }
 
-double distributed_rate_limiter::grantingProcesses(steady_time now) const
+double distributed_rate_limiter::grantingProcessCount(steady_time now) const
 {
-    return m_lender->borrowers(now) + (active(now) ? 1 : 0);
+    return m_lender->borrowerCount(now) + (isActive(now) ? 1 : 0);
 }
 
-limit_message distributed_rate_limiter::messageWith(limit_message_body body) const
+limit_message distributed_rate_limiter::makeMessage(limit_message_body body) const
 {
     return { m_vm, m_incarnation, std::move(body) };
 }
 
-bool distributed_rate_limiter::isSilent() const
+bool distributed_rate_limiter::sendsNothing() const
 {
-    return std::holds_alternative<even_shares>(m_policy) || !m_roster->knowsSelf();
+    return std::holds_alternative<even_shares>(m_policy) || !m_roster->includesSelf();
 }
 
 std::optional<limit_message> distributed_rate_limiter::nextShareRequest(steady_time now)
 {
-    if (isSilent() || (!active(now) && !m_roster->starting(now)) || now - m_lastAsk < nextAskAfter(now))
+    if (sendsNothing() || (!isActive(now) && !m_roster->needsConfirmations(now))
+        || now - m_lastShareRequest < shareRequestDelay(now))
         return std::nullopt;
-    m_lastAsk = now;
-    share_request ask { toStamp(now), active(now), {} };
-    if (ask.borrows && now - m_lastSurvey >= surveyInterval) {
-        m_lastSurvey = now;
-        ask.reachability = m_roster->reachability(now);
+    m_lastShareRequest = now;
+    share_request request { toStamp(now), isActive(now), {} };
+    if (request.borrows && now - m_lastReachabilityReport >= reachabilityReportInterval) {
+        m_lastReachabilityReport = now;
+        request.reachability = m_roster->reachability(now);
     }
-    return messageWith(std::move(ask));
+    return makeMessage(std::move(request));
 }
 
 std::optional<limit_message> distributed_rate_limiter::nextTokenRequest(steady_time now)
 {
-    if (isSilent() || !active(now) || now - m_lastRequest < requestInterval)
+    if (sendsNothing() || !isActive(now) || now - m_lastTokenRequest < tokenRequestInterval)
         return std::nullopt;
-    updatePart(now);
+    updateShare(now);
     token_request request { toStamp(now), {} };
     for (auto& [customer, bucket] : m_buckets) {
-        if (!bucket.asked)
+        if (!bucket.usedSinceRequest)
             continue;
         bucket.advance(now);
-        if (bucket.level() >= std::max(1.0, lowLevel * bucket.capacity()))
+        if (bucket.level() >= std::max(1.0, lowLevelFraction * bucket.capacity()))
             continue;
-        bucket.asked = false;
+        bucket.usedSinceRequest = false;
         request.levels.push_back({ customer, bucket.level(), bucket.capacity() });
     }
     if (request.levels.empty())
         return std::nullopt;
-    m_lastRequest = now;
-    return messageWith(std::move(request));
+    m_lastTokenRequest = now;
+    return makeMessage(std::move(request));
 }
 
 std::optional<limit_message> distributed_rate_limiter::handleMessage(
     const limit_message& message, steady_time now)
 {
     const auto known = m_peers.find(message.vm);
-    const bool ended = known != m_peers.end() && known->second.former == message.incarnation;
+    const bool ended = known != m_peers.end() && known->second.previousIncarnation == message.incarnation;
     if (message.vm == m_vm || ended || std::holds_alternative<even_shares>(m_policy))
         return std::nullopt;
-    notice(message, now);
+    recordSender(message, now);
     return std::visit([&](const auto& body) { return answer(message, body, now); }, message.body);
 }
 
-void distributed_rate_limiter::notice(const limit_message& message, steady_time now)
+void distributed_rate_limiter::recordSender(const limit_message& message, steady_time now)
 {
     auto& peer = m_peers[message.vm];
     if (peer.incarnation != message.incarnation) {
-        peer.former = std::exchange(peer.incarnation, message.incarnation);
-        m_lender->forget(message.vm);
-        m_borrower->forget(message.vm);
+        peer.previousIncarnation = std::exchange(peer.incarnation, message.incarnation);
+        m_lender->removePeer(message.vm);
+        m_borrower->removePeer(message.vm);
     }
-    m_roster->heard(message.vm, now);
-    updatePart(now);
+    m_roster->recordContact(message.vm, now);
+    updateShare(now);
 }
 
 std::optional<limit_message> distributed_rate_limiter::answer(
-    const limit_message& from, const share_request& ask, steady_time now)
+    const limit_message& from, const share_request& request, steady_time now)
 {
-    m_roster->noteSurvey(ask.reachability, now);
+    m_roster->recordReport(request.reachability, now);
     share_loan loan;
     loan.borrowerIncarnation = from.incarnation;
-    loan.requestStamp = ask.stamp;
-    loan.validFor = loanTime();
-    if (ask.borrows) {
-        const auto given = m_lender->lend(from.vm, { m_owned, active(now), loan.validFor }, now);
-        loan.share = given.share;
-        loan.added = given.added;
-        moveTokens(loan, now);
+    loan.requestStamp = request.stamp;
+    loan.validFor = loanDuration();
+    if (request.borrows) {
+        const auto granted = m_lender->lend(from.vm, { m_ownShare, isActive(now), loan.validFor }, now);
+        loan.share = granted.share;
+        loan.added = granted.added;
+        attachTokens(loan, now);
     }
     loan.settled = settled(now);
     loan.wantsAnswer = m_roster->lacksConfirmation(from.vm);
-    return messageWith(std::move(loan));
+    return makeMessage(std::move(loan));
 }
 
-/// Tokens go along with the part that is lent: of each bucket the same share.
-void distributed_rate_limiter::moveTokens(share_loan& loan, steady_time now)
+/// Transfers tokens with a loan: from each bucket in proportion to the lent share.
+void distributed_rate_limiter::attachTokens(share_loan& loan, steady_time now)
 {
-    if (loan.added <= noPart)
+    if (loan.added <= shareEpsilon)
         return;
     std::vector<bucket_fill> fills;
     for (auto& [customer, bucket] : m_buckets) {
         bucket.advance(now);
-        const double fill = m_part > 0 ? 100 * bucket.level() / (bucket.fullCapacity() * m_part) : 0;
+        const double fill = m_share > 0 ? 100 * bucket.level() / (bucket.fullCapacity() * m_share) : 0;
         fills.push_back({ customer, static_cast<std::uint32_t>(std::clamp(fill, 0.0, 100.0)) });
     }
     if (fills.empty())
         return;
-    // Most buckets are equally full: only those are named that are less so.
+    // Most buckets have the same fill level; to keep the message small, only emptier ones are listed.
     auto sorted = fills;
     const auto median = sorted.begin() + static_cast<std::ptrdiff_t>(sorted.size() / 2);
     std::nth_element(sorted.begin(), median, sorted.end(),
@@ -377,9 +383,9 @@
         if (fill.percent < loan.fillPercent)
             loan.emptier.push_back(fill);
         auto& bucket = m_buckets.at(fill.customer);
-        bucket.remove(tokensOf(bucket, loan.added, std::min(fill.percent, loan.fillPercent)));
+        bucket.remove(tokensForShare(bucket, loan.added, std::min(fill.percent, loan.fillPercent)));
     }
-    updatePart(now);
+    updateShare(now);
 }
 
 std::optional<limit_message> distributed_rate_limiter::answer(
@@ -388,20 +394,20 @@
     if (loan.borrowerIncarnation != m_incarnation)
         return std::nullopt;
     if (loan.settled)
-        m_roster->confirmed(from.vm);
-    const bool valid = loan.share > 0 && m_borrower->take(from.vm, loan, now);
-    updatePart(now);
-    if (valid && loan.added > noPart)
-        receiveTokens(loan, now);
+        m_roster->recordConfirmation(from.vm);
+    const bool valid = loan.share > 0 && m_borrower->acceptLoan(from.vm, loan, now);
+    updateShare(now);
+    if (valid && loan.added > shareEpsilon)
+        addLoanedTokens(loan, now);
     if (!loan.wantsAnswer)
         return std::nullopt;
     share_loan confirmation;
     confirmation.borrowerIncarnation = from.incarnation;
     confirmation.settled = settled(now);
-    return messageWith(std::move(confirmation));
+    return makeMessage(std::move(confirmation));
 }
 
-void distributed_rate_limiter::receiveTokens(const share_loan& loan, steady_time now)
+void distributed_rate_limiter::addLoanedTokens(const share_loan& loan, steady_time now)
 {
     std::map<std::uint64_t, std::uint32_t> emptier;
     for (const auto& fill : loan.emptier)
@@ -409,40 +415,41 @@
     for (auto& [customer, bucket] : m_buckets) {
         const auto named = emptier.find(customer);
         bucket.advance(now);
-        bucket.add(tokensOf(bucket, loan.added, named == emptier.end() ? loan.fillPercent : named->second));
+        bucket.add(
+            tokensForShare(bucket, loan.added, named == emptier.end() ? loan.fillPercent : named->second));
     }
 }
 
 std::optional<limit_message> distributed_rate_limiter::answer(
     const limit_message& from, const token_request& request, steady_time now)
 {
-    const double users = std::max(2.0, grantingProcesses(now));
-    token_transfer transfer { request.stamp, loanTime(), {} };
+    const double users = std::max(2.0, grantingProcessCount(now));
+    token_transfer transfer { request.stamp, loanDuration(), {} };
     for (const auto& theirs : request.levels) {
         const auto found = m_buckets.find(theirs.customer);
         if (found == m_buckets.end())
             continue;
         auto& bucket = found->second;
-        bucket.othersLowAt = now;
+        bucket.peersLowAt = now;
         bucket.advance(now);
-        const double tokens = tokensToPass(bucket, theirs, users, now);
+        const double tokens = tokensToTransfer(bucket, theirs, users, now);
         if (tokens <= 0)
             continue;
         const double room = std::max(0.0, theirs.tokens + tokens - theirs.capacity);
         bucket.remove(tokens);
         if (room > 0)
-            bucket.addRoom(-room, now + transfer.roomValidFor);
+            bucket.addCapacityLoan(-room, now + transfer.roomValidFor);
         transfer.tokens.push_back({ theirs.customer, tokens, room });
     }
     if (transfer.tokens.empty())
         return std::nullopt;
-    return messageWith(std::move(transfer));
+    return makeMessage(std::move(transfer));
 }
 
 std::optional<limit_message> distributed_rate_limiter::answer(
     const limit_message& from, const token_transfer& transfer, steady_time now)
 {
-    auto& last = m_peers[from.vm].lastTransfer;
+    auto& last = m_peers[from.vm].lastTransferStamp;
     if (transfer.requestStamp <= last)
         return std::nullopt;
     last = transfer.requestStamp;
@@ -453,7 +460,7 @@
             continue;
         found->second.advance(now);
         if (one.room > 0 && now < roomUntil)
-            found->second.addRoom(one.room, roomUntil);
+            found->second.addCapacityLoan(one.room, roomUntil);
         found->second.add(one.tokens);
     }
     return std::nullopt;
@@ -465,7 +472,7 @@
     const auto found = m_buckets.find(hashText(customer));
     if (found == m_buckets.end())
         return std::nullopt;
-    updatePart(now);
+    updateShare(now);
     found->second.advance(now);
     return usage { found->second.level(), found->second.capacity() };
 }
--- a/libs/limits/src/limit_roster.cpp
+++ b/libs/limits/src/limit_roster.cpp
@@ -6,19 +6,24 @@
 
 namespace {
 
-/// A member that has vanished keeps its part so long: it may be cut off, and serves its callers meanwhile.
-constexpr milliseconds fullPartFor { 60000 };
-/// A process that is cut off gives a share of its part up some time before the others take it.
-constexpr milliseconds cutOffFor { 45000 };
-constexpr milliseconds heardFor { 5000 };
-constexpr double partLeftWhenCutOff = 0.5;
-/// Longer than regions lose each other. Whoever is away for longer is taken for ended.
-constexpr std::chrono::hours absentFor { 2 };
-/// The life of a registration, and the time that its end takes to be heard of: who is still listed so long
-/// after this process was, has heard of it.
-constexpr milliseconds listDelay { 8000 };
-/// Members that have not answered by then are not asked for it any more.
-constexpr milliseconds startingFor { 10000 };
+/// An unreachable member keeps its full share for this time, because it may still serve callers in its
+/// partition.
+constexpr milliseconds fullShareTime { 60000 };
+/// A partitioned process reduces its own share after this time, well before the others claim the difference.
+constexpr milliseconds reduceOwnShareAfter { 45000 };
+/// A member counts as reachable for this time after its last message. A report of a majority is valid for
+/// the same time.
+constexpr milliseconds contactTimeout { 5000 };
+/// Fraction of its share that a partitioned process goes on using.
+constexpr double partitionedShareFactor = 0.5;
+/// A member that is unreachable for longer is treated as terminated. Network partitions between regions are
+/// shorter.
+constexpr std::chrono::hours absenceTimeout { 2 };
+/// Lifetime of a registration plus the time until its expiry reaches all members. A member that is still
+/// listed this long after this process was registered has received a list that contains this process.
+constexpr milliseconds listPropagationTime { 8000 };
+/// A process requests the members' confirmations only for this time after its start.
+constexpr milliseconds startupTime { 10000 };
 
 } // namespace
 
@@ -29,8 +34,8 @@
 
 void limit_roster::setMembers(std::span<const limit_member> members, steady_time now)
 {
-    if (!m_started)
-        m_started = now;
+    if (!m_startedAt)
+        m_startedAt = now;
     std::set<std::string_view> named;
     for (const auto& member : members) {
         named.insert(member.vm);
@@ -39,16 +44,16 @@
     for (auto& [vm, member] : m_members) {
         if (named.contains(vm) || (vm == m_vm && m_leaving))
             continue;
-        if (member.recorded && !member.goneSince)
-            member.goneSince = now;
+        if (member.hasRecord && !member.removedSince)
+            member.removedSince = now;
         member.registered = false;
-        member.recorded = false;
+        member.hasRecord = false;
     }
     if (!isRegistered())
         m_registeredSince.reset();
     else if (!m_registeredSince)
         m_registeredSince = now;
-    noteSeen(now);
+    updateLastListed(now);
 }
 
 void limit_roster::setMember(const limit_member& listed, steady_time now)
@@ -58,42 +63,42 @@
         return;
     }
     if (listed.leaving) {
-        m_left.insert(listed.vm);
+        m_departed.insert(listed.vm);
         const auto known = m_members.find(listed.vm);
-        if (known != m_members.end() && !known->second.goneSince)
-            known->second.goneSince = now;
+        if (known != m_members.end() && !known->second.removedSince)
+            known->second.removedSince = now;
         return;
     }
-    m_left.erase(listed.vm);
+    m_departed.erase(listed.vm);
     const auto [known, added] = m_members.try_emplace(listed.vm);
     auto& member = known->second;
-    // It is away from now on, however old the list was that named it last.
+    // Its absence starts now, however old the last list was that contained it.
     const bool lapsed = member.registered && !listed.registered;
     if (added || listed.registered || lapsed)
-        member.lastKnown = now;
+        member.lastKnownAlive = now;
     member.zone = listed.zone;
     member.registered = listed.registered;
-    member.recorded = true;
-    member.goneSince.reset();
+    member.hasRecord = true;
+    member.removedSince.reset();
 }
 
-void limit_roster::setStoreReachable(bool reached, steady_time now)
+void limit_roster::setStoreReachable(bool reachable, steady_time now)
 {
-    m_storeReached = reached;
-    noteSeen(now);
+    m_storeReachable = reachable;
+    updateLastListed(now);
 }
 
-void limit_roster::noteSeen(steady_time now)
+void limit_roster::updateLastListed(steady_time now)
 {
-    if (!isRegistered() || !m_storeReached)
+    if (!isRegistered() || !m_storeReachable)
         return;
-    m_lastSeen = now;
-    const bool allHaveHeard = now - *m_registeredSince >= listDelay;
+    m_lastListed = now;
+    const bool listHasPropagated = now - *m_registeredSince >= listPropagationTime;
     for (auto& [vm, member] : m_members) {
         if (!member.registered)
             continue;
-        member.lastKnown = now;
-        member.countsThis = member.countsThis || allHaveHeard;
+        member.lastKnownAlive = now;
+        member.countsSelf = member.countsSelf || listHasPropagated;
     }
 }
 
@@ -103,60 +108,59 @@
     return self != m_members.end() && self->second.registered;
 }
 
-void limit_roster::heard(const std::string& vm, steady_time now)
+void limit_roster::recordContact(const std::string& vm, steady_time now)
 {
-    if (m_left.contains(vm))
+    if (m_departed.contains(vm))
         return;
     auto& member = m_members[vm];
-    member.lastHeard = now;
-    member.lastKnown = now;
-    member.goneSince.reset();
+    member.lastReceived = now;
+    member.lastKnownAlive = now;
+    member.removedSince.reset();
 }
 
 reachability_report limit_roster::reachability(steady_time now)
 {
-    reachability_report reachability;
+    reachability_report report;
     for (const auto& [vm, member] : m_members) {
-        if (vm != m_vm && now - member.lastHeard > heardFor)
-            reachability.unresponsive.push_back(vm);
+        if (vm != m_vm && now - member.lastReceived > contactTimeout)
+            report.unresponsive.push_back(vm);
     }
-    reachability.hasMajority = 2 * reachability.unresponsive.size() < m_members.size();
-    if (reachability.hasMajority)
-        m_hearsMostAt = now;
+    report.hasMajority = 2 * report.unresponsive.size() < m_members.size();
+    if (report.hasMajority)
+        m_majorityAt = now;
     else
-        reachability.unresponsive.clear();
-    return reachability;
+        report.unresponsive.clear();
+    return report;
 }
 
-void limit_roster::noteSurvey(const reachability_report& reachability, steady_time now)
+void limit_roster::recordReport(const reachability_report& report, steady_time now)
 {
-    if (!reachability.hasMajority)
+    if (!report.hasMajority)
         return;
-    m_hearsMostAt = now;
-    const std::set<std::string_view> unresponsive(
-        reachability.unresponsive.begin(), reachability.unresponsive.end());
+    m_majorityAt = now;
+    const std::set<std::string_view> unresponsive(report.unresponsive.begin(), report.unresponsive.end());
     for (auto& [vm, member] : m_members) {
         if (!unresponsive.contains(vm))
-            member.lastKnown = now;
+            member.lastKnownAlive = now;
     }
 }
 
-void limit_roster::confirmed(std::string_view vm)
+void limit_roster::recordConfirmation(std::string_view vm)
 {
     const auto member = m_members.find(vm);
     if (member != m_members.end())
-        member->second.countsThis = true;
+        member->second.countsSelf = true;
 }
 
 bool limit_roster::lacksConfirmation(std::string_view vm) const
 {
     const auto member = m_members.find(vm);
-    return knowsSelf() && member != m_members.end() && !member->second.countsThis;
+    return includesSelf() && member != m_members.end() && !member->second.countsSelf;
 }
 
-std::vector<std::string> limit_roster::takeLost()
+std::vector<std::string> limit_roster::takeExpired()
 {
-    return std::exchange(m_lost, {});
+    return std::exchange(m_expired, {});
 }
 
 std::size_t limit_roster::zones() const
@@ -167,72 +171,74 @@
     return zones.size();
 }
 
-void limit_roster::forget(milliseconds loanTime, steady_time now)
+void limit_roster::removeExpired(milliseconds loanDuration, steady_time now)
 {
     std::erase_if(m_members, [&](const auto& entry) {
         const auto& [vm, member] = entry;
-        if (member.goneSince)
-            return now - *member.goneSince > loanTime;
-        const bool lost = vm != m_vm && !member.registered && now - member.lastKnown > absentFor;
-        if (lost && member.recorded)
-            m_lost.push_back(vm);
-        return lost;
+        if (member.removedSince)
+            return now - *member.removedSince > loanDuration;
+        const bool expired = vm != m_vm && !member.registered && now - member.lastKnownAlive > absenceTimeout;
+        if (expired && member.hasRecord)
+            m_expired.push_back(vm);
+        return expired;
     });
 }
 
-/// Two sides of a cut cannot both hear most members: only one may take a part of what the other owns.
-bool limit_roster::countsInFull(std::string_view vm, const member_state& member, steady_time now) const
+/// At most one side of a network partition has a majority of members, and only that side may claim a part of
+/// the shares that the other side owns.
+bool limit_roster::ownsFullShare(std::string_view vm, const member_state& member, steady_time now) const
 {
-    const bool hasMajority = now - m_hearsMostAt <= heardFor;
-    return vm == m_vm || member.registered || !hasMajority || now - member.lastKnown <= fullPartFor;
+    const bool hasMajority = now - m_majorityAt <= contactTimeout;
+    return vm == m_vm || member.registered || !hasMajority || now - member.lastKnownAlive <= fullShareTime;
 }
 
-bool limit_roster::mayCountAsAbsent(steady_time now) const
+bool limit_roster::mayBeConsideredAbsent(steady_time now) const
 {
-    return now - m_lastSeen > cutOffFor && now - m_hearsMostAt > cutOffFor;
+    return now - m_lastListed > reduceOwnShareAfter && now - m_majorityAt > reduceOwnShareAfter;
 }
 
-double limit_roster::ownPart(milliseconds loanTime, steady_time now)
+double limit_roster::ownShare(milliseconds loanDuration, steady_time now)
 {
-    forget(loanTime, now);
-    noteSeen(now);
-    if (m_leaving || !m_members.contains(m_vm) || !m_started)
+    removeExpired(loanDuration, now);
+    updateLastListed(now);
+    if (m_leaving || !m_members.contains(m_vm) || !m_startedAt)
         return 0;
     double owners = 0;
-    double keptForAbsent = 0;
-    double unaware = 0;
+    double reservedForAbsent = 0;
+    double unconfirmed = 0;
     for (const auto& [vm, member] : m_members) {
-        if (countsInFull(vm, member, now))
+        if (ownsFullShare(vm, member, now))
             ++owners;
         else
-            keptForAbsent += partLeftWhenCutOff * member.share;
-        if (vm != m_vm && !member.countsThis)
-            ++unaware;
+            reservedForAbsent += partitionedShareFactor * member.share;
+        if (vm != m_vm && !member.countsSelf)
+            ++unconfirmed;
     }
-    const double share = std::max(0.0, 1 - keptForAbsent) / owners;
+    const double share = std::max(0.0, 1 - reservedForAbsent) / owners;
     for (auto& [vm, member] : m_members) {
-        if (countsInFull(vm, member, now))
+        if (ownsFullShare(vm, member, now))
             member.share = share;
     }
-    // Who does not count this process owns a larger part.
-    if (unaware > 0 && now - *m_started < loanTime)
+    // A member that does not count this process divides the limit among fewer members and owns a larger
+    // share.
+    if (unconfirmed > 0 && now - *m_startedAt < loanDuration)
         return 0;
     const double others = static_cast<double>(m_members.size()) - 1;
-    const double ownShare = others > 0 ? 1 - unaware / others : 1;
-    return share * ownShare * (mayCountAsAbsent(now) ? partLeftWhenCutOff : 1);
+    const double confirmedFraction = others > 0 ? 1 - unconfirmed / others : 1;
+    return share * confirmedFraction * (mayBeConsideredAbsent(now) ? partitionedShareFactor : 1);
 }
 
-bool limit_roster::isNew(steady_time now) const
+bool limit_roster::isStarting(steady_time now) const
 {
-    return m_started && now - *m_started <= startingFor;
+    return m_startedAt && now - *m_startedAt <= startupTime;
 }
 
-bool limit_roster::starting(steady_time now) const
+bool limit_roster::needsConfirmations(steady_time now) const
 {
-    if (!isNew(now))
+    if (!isStarting(now))
         return false;
     return std::any_of(m_members.begin(), m_members.end(),
-        [&](const auto& entry) { return entry.first != m_vm && !entry.second.countsThis; });
+        [&](const auto& entry) { return entry.first != m_vm && !entry.second.countsSelf; });
 }
 
 } // namespace yuccachute
--- a/libs/limits/src/request_bucket.cpp
+++ b/libs/limits/src/request_bucket.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Shares of what may be granted beyond the limit. With the credit of a full bucket they add up to less than
-// one: a full bucket, a restart of all processes and an overdraft may come in one window.
-constexpr double toleratedShare = 0.6; ///< Small customers' requests come in clusters.
-constexpr double shareAtStart = 0.25;
-constexpr double creditShare = 0.1; ///< For requests that have begun.
+// Fractions of the requests that may be granted beyond the limit. Their sum must stay below one, because a
+// full bucket, a restart of all processes and an overdraft may fall into the same window.
+constexpr double toleranceFraction = 0.6; ///< Requests of small customers arrive in clusters.
+constexpr double startFraction = 0.25;
+constexpr double creditFraction = 0.1; ///< For continuations of requests.
 
 } // namespace
 
@@ -18,7 +18,7 @@
     const request_limit& limit, const limit_bounds& bounds, double share, steady_time now)
     : m_limit(limit)
     , m_bounds(bounds)
-    , m_part(share)
+    , m_share(share)
     , m_updated(now)
 {
     add(startLevel() * share);
@@ -31,56 +31,56 @@
 
 double request_bucket::tolerance() const
 {
-    return toleratedShare * slack();
+    return toleranceFraction * slack();
 }
 
 double request_bucket::startLevel() const
 {
-    return shareAtStart * slack();
+    return startFraction * slack();
 }
 
 double request_bucket::credit() const
 {
-    return creditShare * slack() * m_part;
+    return creditFraction * slack() * m_share;
 }
 
 void request_bucket::setLimit(const request_limit& limit)
 {
     m_limit = limit;
-    dropExcess();
+    discardExcess();
 }
 
-void request_bucket::setPart(double share, steady_time now)
+void request_bucket::setShare(double share, steady_time now)
 {
     advance(now);
-    m_part = share;
-    dropExcess();
+    m_share = share;
+    discardExcess();
 }
 
 void request_bucket::advance(steady_time now)
 {
     const double seconds = std::max(0.0, std::chrono::duration<double>(now - m_updated).count());
     m_updated = std::max(now, m_updated);
-    add(m_limit.perSecond * m_part * seconds);
-    if (std::erase_if(m_rooms, [&](const room& one) { return one.until <= now; }) > 0)
-        sumRooms();
+    add(m_limit.perSecond * m_share * seconds);
+    if (std::erase_if(m_capacityLoans, [&](const capacity_loan& loan) { return loan.until <= now; }) > 0)
+        sumCapacityLoans();
 }
 
-void request_bucket::addRoom(double tokens, steady_time until)
+void request_bucket::addCapacityLoan(double tokens, steady_time until)
 {
-    m_rooms.push_back({ tokens, until });
-    sumRooms();
+    m_capacityLoans.push_back({ tokens, until });
+    sumCapacityLoans();
 }
 
-void request_bucket::sumRooms()
+void request_bucket::sumCapacityLoans()
 {
-    m_roomSum = 0;
-    for (const auto& one : m_rooms)
-        m_roomSum += one.tokens;
-    dropExcess();
+    m_loanedCapacity = 0;
+    for (const auto& loan : m_capacityLoans)
+        m_loanedCapacity += loan.tokens;
+    discardExcess();
 }
 
-void request_bucket::dropExcess()
+void request_bucket::discardExcess()
 {
     m_level = std::min(m_level, capacity());
 }
--- a/libs/limits/src/request_bucket.h
+++ b/libs/limits/src/request_bucket.h
@@ -4,53 +4,54 @@
 
 namespace yuccachute {
 
-/// The tokens that a process may grant to one customer: they flow in by the part of the limit that the
-/// process holds, up to that part of the capacity.
+/// Token bucket of one customer in one process. Refill rate and capacity are those of the customer's limit,
+/// multiplied by the share that the process holds.
 class request_bucket {
 public:
     request_bucket(const request_limit& limit, const limit_bounds& bounds, double share, steady_time now);
 
     void setLimit(const request_limit& limit);
     const request_limit& limit() const { return m_limit; }
-    /// What is in it beyond the new part's capacity is gone.
-    void setPart(double share, steady_time now);
+    /// Tokens beyond the capacity of the new share are discarded.
+    void setShare(double share, steady_time now);
     void advance(steady_time now);
 
     double level() const { return m_level; }
-    double capacity() const { return fullCapacity() * m_part + m_roomSum; }
-    /// Of the whole limit.
+    double capacity() const { return fullCapacity() * m_share + m_loanedCapacity; }
+    /// Capacity of the whole limit.
     double fullCapacity() const { return m_limit.burst + tolerance(); }
-    /// By how much requests that have begun elsewhere may overdraw it.
+    /// By how many tokens continuations of requests may overdraw the bucket.
     double credit() const;
-    /// What a process that knows nothing of earlier grants may grant of the whole limit.
+    /// Initial tokens, for the whole limit, of a process that does not know what was granted before its
+    /// start.
     double startLevel() const;
     void add(double tokens);
     void remove(double tokens) { m_level -= tokens; }
-    /// Capacity that was taken over from another process, or given to it if it is negative.
-    void addRoom(double tokens, steady_time until);
+    /// Adds capacity that was borrowed from another process, or lent to it if negative, until a given time.
+    void addCapacityLoan(double tokens, steady_time until);
 
-    steady_time promisedUntil; ///< When the last one that was refused was told to come back.
-    bool asked = false; ///< For tokens, since the others were last told.
-    steady_time lastTake;
-    steady_time othersLowAt; ///< When another process last said that it runs low.
+    steady_time lastRetryAt; ///< Latest retry time that was assigned to a refused request.
+    bool usedSinceRequest = false; ///< Whether a token was requested since the last token request to peers.
+    steady_time lastAcquire;
+    steady_time peersLowAt; ///< When another process last reported that its bucket runs low.
 
 private:
-    struct room {
+    struct capacity_loan {
         double tokens;
         steady_time until;
     };
 
-    /// Requests above the limit that are granted all the same.
+    /// Requests above the limit that are granted nevertheless.
     double tolerance() const;
     double slack() const;
-    void sumRooms();
-    void dropExcess();
+    void sumCapacityLoans();
+    void discardExcess();
 
     request_limit m_limit;
     limit_bounds m_bounds;
-    double m_part;
-    std::vector<room> m_rooms;
-    double m_roomSum = 0;
+    double m_share;
+    std::vector<capacity_loan> m_capacityLoans;
+    double m_loanedCapacity = 0;
     double m_level = 0;
     steady_time m_updated;
 };
--- a/libs/limits/src/share_loans.cpp
+++ b/libs/limits/src/share_loans.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The borrower stops using a loan so long before its end: it looks at it now and then only.
-constexpr milliseconds endMargin { 50 };
+/// The borrower stops using a loan this long before its end, because it checks loans only periodically.
+constexpr milliseconds loanEndMargin { 50 };
 
 } // namespace
 
@@ -19,43 +19,45 @@
 
 steady_time loanEnd(std::uint64_t requestStamp, milliseconds validFor)
 {
-    const auto asked = steady_time { std::chrono::microseconds { static_cast<std::int64_t>(requestStamp) } };
-    return asked + validFor - endMargin;
+    const auto requested
+        = steady_time { std::chrono::microseconds { static_cast<std::int64_t>(requestStamp) } };
+    return requested + validFor - loanEndMargin;
 }
 
 share_lender::loan share_lender::lend(const std::string& borrower, const terms& terms, steady_time now)
 {
-    forgetPast(now);
+    removeExpired(now);
     auto& state = m_borrowers[borrower];
-    state.asksUntil = now + terms.validFor;
-    double users = terms.keepsShare ? 1 : 0;
+    state.activeUntil = now + terms.validFor;
+    double granting = terms.lenderGrants ? 1 : 0;
     double lentToOthers = 0;
     for (const auto& [vm, other] : m_borrowers) {
-        users += now < other.asksUntil ? 1 : 0;
+        granting += now < other.activeUntil ? 1 : 0;
         lentToOthers += vm == borrower ? 0 : other.lent();
     }
-    const double share = terms.owned / users;
-    const double kept = terms.keepsShare ? share : 0;
-    loan given;
-    given.share = std::clamp(terms.owned - lentToOthers - kept, 0.0, share);
-    given.added = std::max(0.0, given.share - state.lent());
-    while (!state.promises.empty() && state.promises.back().share <= given.share)
-        state.promises.pop_back();
-    state.promises.push_back({ given.share, now + terms.validFor });
-    return given;
+    const double share = terms.ownShare / granting;
+    const double kept = terms.lenderGrants ? share : 0;
+    loan granted;
+    granted.share = std::clamp(terms.ownShare - lentToOthers - kept, 0.0, share);
+    granted.added = std::max(0.0, granted.share - state.lent());
+    while (!state.commitments.empty() && state.commitments.back().share <= granted.share)
+        state.commitments.pop_back();
+    state.commitments.push_back({ granted.share, now + terms.validFor });
+    return granted;
 }
 
-void share_lender::forgetPast(steady_time now)
+void share_lender::removeExpired(steady_time now)
 {
     for (auto& [vm, borrower] : m_borrowers) {
-        while (!borrower.promises.empty() && borrower.promises.front().until <= now)
-            borrower.promises.pop_front();
+        while (!borrower.commitments.empty() && borrower.commitments.front().until <= now)
+            borrower.commitments.pop_front();
     }
-    std::erase_if(m_borrowers,
-        [&](const auto& entry) { return entry.second.promises.empty() && entry.second.asksUntil <= now; });
+    std::erase_if(m_borrowers, [&](const auto& entry) {
+        return entry.second.commitments.empty() && entry.second.activeUntil <= now;
+    });
 }
 
-void share_lender::forget(std::string_view borrower)
+void share_lender::removePeer(std::string_view borrower)
 {
     const auto found = m_borrowers.find(borrower);
     if (found != m_borrowers.end())
@@ -64,26 +66,26 @@
 
 double share_lender::lent(steady_time now)
 {
-    forgetPast(now);
+    removeExpired(now);
     double sum = 0;
     for (const auto& [vm, borrower] : m_borrowers)
         sum += borrower.lent();
     return sum;
 }
 
-double share_lender::borrowers(steady_time now) const
+double share_lender::borrowerCount(steady_time now) const
 {
     return static_cast<double>(std::count_if(m_borrowers.begin(), m_borrowers.end(),
-        [&](const auto& entry) { return now < entry.second.asksUntil; }));
+        [&](const auto& entry) { return now < entry.second.activeUntil; }));
 }
 
 bool share_lender::lendsTo(std::string_view borrower, steady_time now) const
 {
     const auto found = m_borrowers.find(borrower);
-    return found != m_borrowers.end() && now < found->second.asksUntil;
+    return found != m_borrowers.end() && now < found->second.activeUntil;
 }
 
-bool share_borrower::take(const std::string& lender, const share_loan& loan, steady_time now)
+bool share_borrower::acceptLoan(const std::string& lender, const share_loan& loan, steady_time now)
 {
     const auto until = loanEnd(loan.requestStamp, loan.validFor);
     const auto known = m_loans.find(lender);
@@ -94,7 +96,7 @@
     return true;
 }
 
-void share_borrower::forget(std::string_view lender)
+void share_borrower::removePeer(std::string_view lender)
 {
     const auto found = m_loans.find(lender);
     if (found != m_loans.end())
--- a/libs/limits/src/share_loans.h
+++ b/libs/limits/src/share_loans.h
@@ -6,54 +6,56 @@
 
 namespace yuccachute {
 
-/// What this process has lent of the part that it owns.
+/// Loans that this process has granted from the share that it owns.
 class share_lender {
 public:
     struct terms {
-        double owned = 0;
-        bool keepsShare = false; ///< The lender grants, too.
+        double ownShare = 0;
+        bool lenderGrants = false; ///< Whether the lender grants requests itself and keeps a portion.
         milliseconds validFor { 0 };
     };
     struct loan {
         double share = 0;
-        double added = 0; ///< Of that, what the borrower cannot have any more from before.
+        double added = 0; ///< What exceeds the loans that the borrower may still hold from before.
     };
 
-    /// Lends to a process the same share as to the others that have asked lately, as far as it is there.
+    /// Grants a process the same portion as each other process that requested loans lately, as far as it is
+    /// not lent out.
     loan lend(const std::string& borrower, const terms& terms, steady_time now);
-    /// The borrower has ended, and its loans with it.
-    void forget(std::string_view borrower);
-    /// What may be in use by others.
+    /// Removes a borrower that has terminated, and its loans.
+    void removePeer(std::string_view borrower);
+    /// The share that borrowers may still use.
     double lent(steady_time now);
-    /// How many processes have asked for loans lately.
-    double borrowers(steady_time now) const;
-    /// Whether a process is one of them.
+    /// Number of processes that requested loans lately.
+    double borrowerCount(steady_time now) const;
+    /// Whether a process has requested a loan lately.
     bool lendsTo(std::string_view borrower, steady_time now) const;
 
 private:
-    struct promise {
+    /// A share that the borrower may use until the given time.
+    struct commitment {
         double share;
         steady_time until;
     };
     struct borrower_state {
-        std::deque<promise> promises; ///< The largest first, each later one lasting longer.
-        steady_time asksUntil; ///< Counts as a borrower so long.
+        std::deque<commitment> commitments; ///< By decreasing share and increasing expiry.
+        steady_time activeUntil; ///< Until when it counts as a borrower.
 
-        double lent() const { return promises.empty() ? 0 : promises.front().share; }
+        double lent() const { return commitments.empty() ? 0 : commitments.front().share; }
     };
 
-    void forgetPast(steady_time now);
+    void removeExpired(steady_time now);
 
     std::map<std::string, borrower_state, std::less<>> m_borrowers; ///< By VM.
 };
 
-/// What this process has borrowed.
+/// Loans that this process has received.
 class share_borrower {
 public:
-    /// Whether the loan is the lender's newest, and still valid.
-    bool take(const std::string& lender, const share_loan& loan, steady_time now);
-    /// The lender has started anew: it knows nothing of what it has lent.
-    void forget(std::string_view lender);
+    /// Stores a loan. Returns false if it has expired or is not newer than the lender's last one.
+    bool acceptLoan(const std::string& lender, const share_loan& loan, steady_time now);
+    /// Removes the loan of a lender that has restarted and no longer knows of its loans.
+    void removePeer(std::string_view lender);
     double borrowed(steady_time now);
 
 private:
@@ -67,7 +69,7 @@
 };
 
 std::uint64_t toStamp(steady_time time);
-/// When a borrower stops using what it asked for at a time: some time before its end.
+/// When a borrower stops using the loan that it requested at `requestStamp`: shortly before the loan's end.
 steady_time loanEnd(std::uint64_t requestStamp, milliseconds validFor);
 
 } // namespace yuccachute
--- a/libs/limits/tests/limit_storms.h
+++ b/libs/limits/tests/limit_storms.h
@@ -1,37 +1,38 @@
 #pragma once
 
-#include "model_limits.h"
+#include "fleet_simulation.h"
 
 namespace yuccachute {
 
-/// Which faults follow each other in a storm.
-enum class storm_kind : std::uint8_t {
+/// Kinds of faults that occur in a sequence.
+enum class fault_pattern : std::uint8_t {
     restarts,
     restarts_of_all,
-    single_cuts, ///< Processes cut off one by one, and restarts.
-    zone_cuts, ///< A zone is cut off while an earlier cut stays.
-    halves, ///< Half of the processes, drawn anew each time; only one side reaches the store.
-    zones_alone, ///< Each zone by itself; only one reaches the store.
-    deaf,
-    mixed
+    process_partitions, ///< Single processes are isolated, partitions heal, and processes restart.
+    zone_partitions, ///< Zones are isolated, also while an earlier partition lasts.
+    halves, ///< Random halves of the processes are separated; only one half reaches the store.
+    isolated_zones, ///< All zones are separated from each other; only one reaches the store.
+    incoming_loss, ///< Single processes receive no messages, while those that they send arrive.
+    mixed ///< A random choice of the above for each fault.
 };
 
-/// When callers come.
-enum class storm_load : std::uint8_t {
-    overload, ///< 1.5 to 9 times the limit, at all zones or at one.
+/// Load over time.
+enum class load_pattern : std::uint8_t {
+    overload, ///< 1.5 to 9 times the limit, in all zones or in one.
     pauses, ///< The same, with pauses in which buckets fill.
-    below_limit ///< What customers usually send, evenly over the zones.
+    below_limit ///< Typical load within the limit, spread evenly over the zones.
 };
 
-struct storm_result {
-    double busiestWindow = 0;
+struct fault_sequence_result {
+    double maxGrantsInWindow = 0;
     double allowed = 0;
     std::size_t granted = 0;
     std::size_t refused = 0;
-    double mostParts = 0; ///< Of the limit, that processes could grant from at the same time.
+    double maxShareSum = 0; ///< Largest sum of the shares that processes held at the same time.
 };
 
-/// Sixteen faults in a fleet of 3 to 5 zones and 6 to 35 processes, with a limit of 1 to 800 a second.
-storm_result playStorm(storm_kind kind, storm_load load, std::uint64_t seed);
+/// Simulates sixteen faults in a fleet of 3 to 5 zones and 6 to 35 processes, with a limit of 1 to 800
+/// requests per second.
+fault_sequence_result runFaultSequence(fault_pattern kind, load_pattern load, std::uint64_t seed);
 
 } // namespace yuccachute
