--- a/libs/authentication/include/authentication/authentication.h
+++ b/libs/authentication/include/authentication/authentication.h
@@ -5,24 +5,23 @@
 
 #include <string_view>
 
-/// Tells which customer a caller belongs to. Layer: state. No I/O.
+/// Authentication of callers: maps an API key to a customer. Layer: state. No I/O.
 namespace yuccachute {
 
 /// The customer on whose behalf a request is served.
 struct caller_identity {
-    /// Null on a route that is open to all, and in a deployment without customers. Lives as long as the
-    /// table.
+    /// Null for an anonymous caller and in a deployment without customers. Owned by the routing table.
     const customer_description* customer = nullptr;
 
     std::string_view name() const { return customer ? std::string_view(customer->name) : std::string_view(); }
 };
 
-/// Identifies the caller of a request on a route. Fails with unauthorized if the route wants a key and nobody
-/// holds this one. The failure does not repeat the key.
+/// Identifies the caller of a request on a route. Fails with unauthorized if the route requires a key and the
+/// given one belongs to no customer. The error message never contains the key.
 result<caller_identity> authenticate(const routing_table& table, const route& matched, std::string_view key);
 
-/// The same for a call on an existing job, which names a host but no route: a key may be missing only where a
-/// batch route of the host is open to all.
+/// Identifies the caller of an operation on an existing job, which has a host but no route. The key may only
+/// be missing if a batch route of the host allows anonymous callers.
 result<caller_identity> authenticateJobCall(
     const routing_table& table, std::string_view host, std::string_view key);
 
--- a/libs/authentication/src/authentication.cpp
+++ b/libs/authentication/src/authentication.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-result<caller_identity> identify(const routing_table& table, bool allowsAnonymous, std::string_view key)
+result<caller_identity> authenticateKey(
+    const routing_table& table, bool allowsAnonymous, std::string_view key)
 {
     if (table.customers.empty())
         return caller_identity {};
@@ -21,7 +22,7 @@
 
 result<caller_identity> authenticate(const routing_table& table, const route& matched, std::string_view key)
 {
-    return identify(table, matched.allowsAnonymous, key);
+    return authenticateKey(table, matched.allowsAnonymous, key);
 }
 
 result<caller_identity> authenticateJobCall(
@@ -32,7 +33,7 @@
               return candidate.kind == request_kind::batch && candidate.allowsAnonymous
                   && candidate.host == host;
           });
-    return identify(table, allowsAnonymous, key);
+    return authenticateKey(table, allowsAnonymous, key);
 }
 
 } // namespace yuccachute
--- a/libs/authentication/tests/test_authentication.cpp
+++ b/libs/authentication/tests/test_authentication.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("each key of a customer names it")
+TEST_CASE("each key of a customer identifies it")
 {
     const auto table = tableWithCustomers();
     for (const auto* key : { "key-1", "key-2" })
@@ -33,9 +33,9 @@
     CHECK(authenticate(table, table.routes[0], "key-3").value().name() == "other");
 }
 
-// A caller whose key was taken away, or never was one, must not run anything, and its key must not reach a
-// log through the failure's message.
-TEST_CASE("an unknown key is refused without being repeated")
+// Guards against requests with revoked or unknown keys, and against keys that reach a log through an error
+// message.
+TEST_CASE("an unknown key is refused, and the error does not contain it")
 {
     const auto table = tableWithCustomers();
     for (const auto* key : { "", "key-", "key-11", "KEY-1", "firm" }) {
@@ -48,7 +48,7 @@
     }
 }
 
-TEST_CASE("a route that is open to all asks for no key, and names the holder of a known one")
+TEST_CASE("a route that allows anonymous callers requires no key, and identifies the customer of a known one")
 {
     const auto table = tableWithCustomers();
     CHECK(authenticate(table, table.routes[1], "").value().customer == nullptr);
@@ -56,14 +56,14 @@
     CHECK(authenticate(table, table.routes[1], "key-1").value().name() == "firm");
 }
 
-TEST_CASE("a deployment without customers asks for no keys")
+TEST_CASE("a deployment without customers requires no keys")
 {
     const routing_table table;
     CHECK(authenticate(table, route {}, "anything").value().customer == nullptr);
     CHECK(authenticateJobCall(table, "h", "").value().customer == nullptr);
 }
 
-TEST_CASE("calls on jobs need a key unless a batch route of the host is open to all")
+TEST_CASE("calls on jobs require a key unless a batch route of the host allows anonymous callers")
 {
     auto table = tableWithCustomers();
     CHECK(!authenticateJobCall(table, "h", ""));
--- a/libs/routing/src/routing_table.cpp
+++ b/libs/routing/src/routing_table.cpp
@@ -23,11 +23,11 @@
 {
     const auto total = std::accumulate(shares.begin(), shares.end(), std::uint64_t { 0 },
         [](std::uint64_t sum, const service_share& share) { return sum + share.weight; });
-    auto place = total == 0 ? 0 : number % total;
+    auto offset = total == 0 ? 0 : number % total;
     for (const auto& share : shares) {
-        if (place < share.weight)
+        if (offset < share.weight)
             return share.service;
-        place -= share.weight;
+        offset -= share.weight;
     }
     return shares.front().service;
 }
--- a/libs/routing/src/target_directory.cpp
+++ b/libs/routing/src/target_directory.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// A target that has been missing for so long is gone, however long the store is away.
-constexpr milliseconds longestMissing { 10000 };
+/// A target that has been missing for this time is removed, however long the outage of the store lasts.
+constexpr milliseconds maxMissingTime { 10000 };
 
-bool sameForChoice(const listed_target& left, const listed_target& right)
+bool sameForSelection(const listed_target& left, const listed_target& right)
 {
     return left.service == right.service && left.address == right.address && left.zone == right.zone
         && left.slots == right.slots && left.draining == right.draining;
 }
 
-/// What the starts of one target have in common; its id where the platform does not tell.
+/// Identifies the target across restarts; its id if the platform does not list an instance.
 std::string_view instanceOf(const listed_target& target)
 {
     return target.instance.empty() ? target.id : target.instance;
@@ -48,12 +48,12 @@
         }
     }
     for (auto instance : instances)
-        settleInstance(instance, changes);
+        reconcileInstance(instance, changes);
     for (const auto& change : listed) {
         if (change.released)
-            drop(change.before->id, changes, true);
+            remove(change.before->id, changes, true);
         else if (change.before)
-            miss(change.before, trustedFrom, now, changes);
+            markMissing(change.before, trustedFrom, now, changes);
     }
     if (now >= trustedFrom) {
         for (auto& dropped : expire(trustedFrom, now))
@@ -83,39 +83,39 @@
     return std::any_of(begin, end, [&](const auto& entry) { return entry.second->id == target.id; });
 }
 
-/// Of several starts of one instance only the latest lives: the entry of a former one is late news. A former
-/// one that is only missing goes too: kept beside its successor it would get a second share of the requests
-/// that one target can take.
-void target_directory::settleInstance(std::string_view instance, change_list& changes)
+/// Keeps only the latest start of an instance: entries of earlier starts are outdated. An earlier start that
+/// is merely missing is removed as well; kept next to its successor, it would attract requests beyond the
+/// capacity of the one target.
+void target_directory::reconcileInstance(std::string_view instance, change_list& changes)
 {
     const auto [begin, end] = m_listed.equal_range(instance);
     if (begin == end)
         return;
-    std::vector<std::string> former;
+    std::vector<std::string> outdated;
     for (auto entry = begin; entry != end; ++entry) {
         if (superseded(*entry->second))
-            former.push_back(entry->second->id);
+            outdated.push_back(entry->second->id);
         else
-            use(entry->second, changes);
+            activate(entry->second, changes);
     }
     for (const auto& [id, since] : m_missingSince) {
         if (const auto* target = find(id); target && instanceOf(*target) == instance)
-            former.push_back(id);
+            outdated.push_back(id);
     }
-    for (const auto& id : former)
-        drop(id, changes);
+    for (const auto& id : outdated)
+        remove(id, changes);
 }
 
-void target_directory::use(const target_ptr& target, change_list& changes)
+void target_directory::activate(const target_ptr& target, change_list& changes)
 {
     m_missingSince.erase(target->id);
     auto& known = m_targets[target->id];
     const auto before = std::exchange(known, target);
-    if (!before || !sameForChoice(*before, *target))
+    if (!before || !sameForSelection(*before, *target))
         changes.push_back({ before, target });
 }
 
-void target_directory::drop(std::string_view id, change_list& changes, bool released)
+void target_directory::remove(std::string_view id, change_list& changes, bool released)
 {
     if (const auto missing = m_missingSince.find(id); missing != m_missingSince.end())
         m_missingSince.erase(missing);
@@ -126,29 +126,29 @@
     m_targets.erase(known);
 }
 
-void target_directory::miss(
+void target_directory::markMissing(
     const target_ptr& target, steady_time trustedFrom, steady_time now, change_list& changes)
 {
     const auto known = m_targets.find(target->id);
     if (known == m_targets.end() || listed(*target))
         return;
-    // A draining target goes for good: nothing is gained by keeping it. One that has started again is gone.
+    // A draining target will not return, so it is not kept. A target that has restarted has a new entry.
     const bool replaced = m_listed.contains(instanceOf(*target));
     if (now >= trustedFrom || known->second->draining || replaced)
-        return drop(target->id, changes);
+        return remove(target->id, changes);
     m_missingSince.try_emplace(target->id, now);
 }
 
 std::vector<target_change> target_directory::expire(steady_time trustedFrom, steady_time now)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> expired;
     for (const auto& [id, since] : m_missingSince) {
-        if (now >= trustedFrom || now - since >= longestMissing)
-            gone.push_back(id);
+        if (now >= trustedFrom || now - since >= maxMissingTime)
+            expired.push_back(id);
     }
     std::vector<target_change> changes;
-    for (const auto& id : gone)
-        drop(id, changes);
+    for (const auto& id : expired)
+        remove(id, changes);
     return changes;
 }
 
--- a/libs/routing/tests/test_routing.cpp
+++ b/libs/routing/tests/test_routing.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of the host wins")
+TEST_CASE("the route with the longest matching prefix is selected")
 {
     routing_table table;
     table.routes
@@ -33,7 +33,7 @@
     CHECK(table.match("nobody", "/x/y/") == nullptr);
 }
 
-TEST_CASE("requests are shared by weight")
+TEST_CASE("requests are split by weight")
 {
     route split;
     split.shares = { { "one", 90 }, { "two", 10 } };
@@ -43,7 +43,7 @@
     CHECK(second == 100);
 }
 
-TEST_CASE("a target that is missing from a list that can be trusted is gone at once")
+TEST_CASE("a target that is missing from a trusted list is removed at once")
 {
     whole_list directory;
     CHECK(directory.update({ target("a"), target("b"), target("c") }, at(0), at(0)));
@@ -54,9 +54,9 @@
     CHECK(directory.targets().size() == 2);
 }
 
-// Story: two servers are taken away while a third one is replaced; their entries go in the same moment. They
-// were taken for lapsed entries, because many went together, and got requests for 2.2 s after they had left.
-TEST_CASE("many targets that go together while the store answers are gone at once")
+// Guards against mistaking several removals at once for lapsed entries: two servers were removed while a
+// third was replaced, and they received requests for another 2.2 s.
+TEST_CASE("many targets that are removed at once are dropped immediately if the store is available")
 {
     whole_list directory;
     directory.update({ target("a"), target("b"), target("c"), target("d") }, at(0), at(0));
@@ -64,8 +64,8 @@
     CHECK(directory.targets().size() == 1);
 }
 
-// Story: the store is away for five seconds and the servers' leases run out. At its return the list is empty
-// for a second; every caller is refused although all servers work.
+// Guards against refusing all requests after an outage of the store: the servers' leases expire during an
+// outage of five seconds, and the list is empty for the first second after it, although all servers work.
 TEST_CASE("targets that are missing after an outage are kept until lists can be trusted")
 {
     whole_list directory;
@@ -79,7 +79,7 @@
     CHECK(directory.targets().size() == 1);
 }
 
-TEST_CASE("a target does not stay for ever while the store is away")
+TEST_CASE("a missing target is removed eventually, even during an outage of the store")
 {
     whole_list directory;
     directory.update({ target("a") }, at(0), at(0));
@@ -88,15 +88,16 @@
     CHECK(directory.expire(steady_time::max(), at(11000)));
 }
 
-// Story: a server starts again under its id while the store is away. At its return the list names the new
-// start; the former one was kept as a lapsed entry, and one server got the requests of two.
-TEST_CASE("a former start of a target does not stay beside the latest, and late news of it is not believed")
+// Guards against sending one server the requests of two: a server restarts during an outage of the store, the
+// list then contains its new start, and the earlier one is kept as a lapsed entry.
+TEST_CASE(
+    "an earlier start of a target is removed once a later one is listed, and outdated entries are ignored")
 {
     const auto startOf = [](const std::string& instance, std::int64_t started) {
-        auto one = target(instance + '@' + std::to_string(started));
-        one.instance = instance;
-        one.started = started;
-        return one;
+        auto listed = target(instance + '@' + std::to_string(started));
+        listed.instance = instance;
+        listed.started = started;
+        return listed;
     };
     whole_list directory;
     directory.update({ startOf("a", 1), startOf("b", 1) }, at(2300), at(0));
--- a/libs/verdict/include/verdict/verdict.h
+++ b/libs/verdict/include/verdict/verdict.h
@@ -7,45 +7,46 @@
 #include <string>
 #include <string_view>
 
-/// Errors of the whole system. Each failure says whether the request may have run at its target, because
-/// that alone decides whether it may be sent again. Layer: state.
+/// Error types of the whole system. Each failure states whether the request may have run at its target,
+/// because that determines whether it may be retried. Layer: state.
 namespace yuccachute {
 
-/// Clock of every decision. Deciding functions take a time point as an argument and never read the clock.
+/// Clock used by all decision logic. Decision functions take a time point as an argument and never read the
+/// clock.
 using steady_time = std::chrono::steady_clock::time_point;
 using milliseconds = std::chrono::milliseconds;
 
-/// Whether a request that ended in an error may have had an effect.
+/// Whether a failed request may have had an effect.
 enum class verdict : std::uint8_t {
-    not_run, ///< Nothing reached a target, or the target refused before running. Safe to send again.
-    may_have_run, ///< The outcome is unknown. Only an idempotent request may be sent again.
+    not_run, ///< No target received the request, or it refused it before running it. Safe to retry.
+    may_have_run, ///< The outcome is unknown. Only an idempotent request may be retried.
     done ///< The request ran and its outcome is final.
 };
 
-/// Kind of a failure, in the terms of the callers' API.
+/// Kinds of failures, as exposed in the callers' API.
 enum class failure_kind : std::uint8_t {
-    bad_request, ///< The caller's input is wrong; the message names the field or line.
+    bad_request, ///< The caller's input is invalid; the message names the field or line.
     unauthorized, ///< No key, or an unknown key.
-    forbidden, ///< The key or token is known and not entitled to this.
+    forbidden, ///< The key or token is valid but lacks the permission.
     not_found,
-    conflict, ///< The thing to change has changed since it was read.
-    gone, ///< It existed and has expired.
+    conflict, ///< The resource has been modified since it was read.
+    gone, ///< The resource existed and has expired.
     too_large,
-    limited, ///< A limit of the customer is used up; retryAfter says when to come back.
-    overloaded, ///< No room before the timeout; retryAfter says when to come back.
-    unavailable, ///< A target, a peer or the store cannot be reached.
+    limited, ///< A limit of the customer is exhausted; retryAfter says when to retry.
+    overloaded, ///< No capacity before the timeout; retryAfter says when to retry.
+    unavailable, ///< A target, a peer or the store is unreachable.
     timeout,
     cancelled,
-    incomplete, ///< An answer ended before it was whole.
+    incomplete, ///< The response ended prematurely.
     internal
 };
 
-/// A typed error.
+/// An error with its kind and the verdict on the failed request.
 struct failure {
     verdict ran = verdict::not_run;
     failure_kind kind = failure_kind::internal;
     std::string message;
-    /// When the caller should come back; zero if asking again is pointless.
+    /// Delay after which the caller should retry; zero if a retry is pointless.
     milliseconds retryAfter { 0 };
 };
 
@@ -60,13 +61,13 @@
 /// Returns the kind's name, as in the callers' JSON.
 std::string_view toString(failure_kind kind);
 
-/// Returns the HTTP status that answers a failure of this kind.
+/// Returns the HTTP status code for a failure of this kind.
 unsigned httpStatus(failure_kind kind);
 
-/// Shorthand for a failure that never reached a target.
+/// Creates a failure of a request that did not run at any target.
 failure notRun(failure_kind kind, std::string message, milliseconds retryAfter = milliseconds { 0 });
 
-/// Shorthand for a failure whose outcome at the target is unknown.
+/// Creates a failure of a request whose outcome at the target is unknown.
 failure mayHaveRun(failure_kind kind, std::string message);
 
 } // namespace yuccachute
--- a/libs/verdict/src/verdict.cpp
+++ b/libs/verdict/src/verdict.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-struct kind_row {
+struct failure_kind_info {
     std::string_view name;
     unsigned status;
 };
 
-kind_row describe(failure_kind kind)
+failure_kind_info describe(failure_kind kind)
 {
     switch (kind) {
     case failure_kind::bad_request:
