--- a/libs/mirror/src/store_mirror.cpp
+++ b/libs/mirror/src/store_mirror.cpp
@@ -9,26 +9,27 @@
 
 namespace {
 
-/// Long, because the store charges for each waiting call that returns; dead connections are detected by the
-/// transport's keepalive probes.
+/// Maximum duration of a waiting call. It is long because the store charges for each call that returns; dead
+/// connections are detected by the transport's keepalive probes.
 constexpr milliseconds maxWaitTime { 30000 };
-/// Of the first waiting call after an outage, or after the process began to follow the store. It is short so
-/// that a store that accepts calls without answering them is detected: during a long call the process would
-/// consider itself connected for half a minute.
+/// Maximum duration of the first waiting call after an outage, or after the process began to follow the
+/// store. It is short so that a store that accepts calls without answering them is detected: during a long
+/// call the process would consider itself connected for half a minute.
 constexpr milliseconds initialWaitTime { 500 };
 /// Changes that are further apart do not form a burst.
 constexpr milliseconds maxBurstGap { 1000 };
 constexpr milliseconds initialRetryDelay { 60 };
 constexpr unsigned maxRetryDoublings = 8;
-/// The shortest wait. If there are no changes, the store answers as soon as this time is over.
+/// Duration of the waiting call that confirms a copy, the shortest that counts as a wait. Without changes the
+/// store answers when it is over.
 constexpr milliseconds confirmationWaitTime { 1 };
-/// The store answers within milliseconds, or within 200 ms when it is slow.
+/// Interval between confirmations. The store answers within milliseconds, or within 200 ms when it is slow.
 constexpr milliseconds confirmationInterval { 300 };
 /// While the store does not answer, the interval grows up to four times: a process whose connection to the
 /// store is restored has 3 s to learn which targets have left.
 constexpr unsigned maxConfirmationDoublings = 2;
-/// If the connection of a waiting call is alive, the call reports a change at most this much later than a
-/// confirmation does.
+/// Delay before a waiting call is replaced. If its connection is alive, the call reports a change at most
+/// this much later than a confirmation does.
 constexpr milliseconds waitReplacementDelay { 50 };
 
 } // namespace
