--- a/libs/fleet/src/node_record.cpp
+++ b/libs/fleet/src/node_record.cpp
@@ -14,19 +14,21 @@
 
 constexpr std::string_view entryRole = "entry";
 constexpr std::string_view batchRole = "batch";
-/// Two entries of a zone follow the store for the others, and one of these gives the places.
-constexpr std::ptrdiff_t neededPerZone = 2;
-/// With two more a zone has somebody left in nine of ten cases when half of its VMs go at once; until others
-/// have registered themselves, those of other zones stand in.
-constexpr std::ptrdiff_t neededWithSpares = 4;
-/// A registration is in all copies 1.3 s later. The larger VMs have decided by the time at which the small
-/// ones look; of 50 that decide within 20 s three more than are needed register themselves.
-constexpr double urgentSpreadInFirstDelays = 0.5;
-constexpr milliseconds spareOfferSpread { 20000 };
-/// Processes start within some hundred milliseconds of each other, and a start takes a small VM longer: one
-/// of half a core decides after half a second, one of a tenth after two and a half.
-constexpr double offerDelayOfOneCore = 250;
-constexpr milliseconds longestFirstDelay { 2500 };
+/// Two entries of a zone follow the store for the others, and one of the two grants slots.
+constexpr std::ptrdiff_t requiredPerZone = 2;
+/// With two spare entries, a zone has a registered entry left in nine of ten cases if half of its VMs fail at
+/// once. Otherwise entries of other zones take over until others of the zone have registered.
+constexpr std::ptrdiff_t requiredWithSpares = 4;
+/// Limit of the delay of an urgent registration, relative to the initial delay. The larger VMs have decided
+/// by the time the small ones check.
+constexpr double urgentDelayFactor = 0.5;
+/// Limit of the delay of a spare registration. A registration has reached all copies 1.3 s later, so if 50
+/// entries decide within this time, three more than needed register.
+constexpr milliseconds maxSpareDelay { 20000 };
+/// Processes start within a few hundred milliseconds of each other, and small VMs take longer to start: a VM
+/// with half a core decides after 0.5 s, one with a tenth after 2.5 s.
+constexpr double initialDelayOfOneCoreMs = 250;
+constexpr milliseconds maxInitialDelay { 2500 };
 
 } // namespace
 
@@ -43,7 +45,7 @@
 {
     const auto json = nlohmann::json::parse(document, nullptr, false);
     if (!json.is_object())
-        return notRun(failure_kind::internal, "the record of a process is no JSON object");
+        return notRun(failure_kind::internal, "process record is not a JSON object");
     try {
         node_record node;
         node.vm = json.at("vm").get<std::string>();
@@ -55,51 +57,51 @@
         node.cores = json.value("cores", 0.0);
         return node;
     } catch (const nlohmann::json::exception& error) {
-        return notRun(failure_kind::internal, std::string("the record of a process: ") + error.what());
+        return notRun(failure_kind::internal, std::string("process record: ") + error.what());
     }
 }
 
-bool isLarge(const node_record& node, double mostCores)
+bool isLarge(const node_record& node, double maxCores)
 {
-    return 2 * node.cores >= mostCores;
+    return 2 * node.cores >= maxCores;
 }
 
-bool largeAmong(const node_record& node, std::span<const node_record> others)
+bool isLargeAmong(const node_record& node, std::span<const node_record> others)
 {
-    double most = 0;
+    double maxCores = 0;
     for (const auto& other : others)
-        most = std::max(most, other.cores);
-    return isLarge(node, most);
+        maxCores = std::max(maxCores, other.cores);
+    return isLarge(node, maxCores);
 }
 
 registration_need registrationNeed(const node_record& self, std::span<const node_record> registered)
 {
-    double mostCores = self.cores;
+    double maxCores = self.cores;
     for (const auto& node : registered)
-        mostCores = std::max(mostCores, node.zone == self.zone ? node.cores : 0);
+        maxCores = std::max(maxCores, node.zone == self.zone ? node.cores : 0);
     const auto rank
-        = [&](const node_record& node) { return std::pair(isLarge(node, mostCores), hashText(node.vm)); };
-    const auto before = std::count_if(registered.begin(), registered.end(), [&](const auto& node) {
+        = [&](const node_record& node) { return std::pair(isLarge(node, maxCores), hashText(node.vm)); };
+    const auto precedingCount = std::count_if(registered.begin(), registered.end(), [&](const auto& node) {
         return node.role == node_role::entry && node.zone == self.zone && node.vm != self.vm && !node.leaving
             && rank(node) > rank(self);
     });
-    if (before < neededPerZone)
+    if (precedingCount < requiredPerZone)
         return registration_need::urgent;
-    return before < neededWithSpares ? registration_need::spare : registration_need::none;
+    return precedingCount < requiredWithSpares ? registration_need::spare : registration_need::none;
 }
 
 milliseconds initialRegistrationDelay(double cores)
 {
     if (cores <= 0)
-        return longestFirstDelay;
-    return std::min(longestFirstDelay, milliseconds { std::llround(offerDelayOfOneCore / cores) });
+        return maxInitialDelay;
+    return std::min(maxInitialDelay, milliseconds { std::llround(initialDelayOfOneCoreMs / cores) });
 }
 
 milliseconds maxRegistrationDelay(registration_need need, double cores)
 {
     return need == registration_need::urgent
-        ? milliseconds { std::llround(initialRegistrationDelay(cores).count() * urgentSpreadInFirstDelays) }
-        : spareOfferSpread;
+        ? milliseconds { std::llround(initialRegistrationDelay(cores).count() * urgentDelayFactor) }
+        : maxSpareDelay;
 }
 
 std::string encodeShare(const share_record& share)
@@ -112,8 +114,8 @@
     const auto json = nlohmann::json::parse(document, nullptr, false);
     if (!json.is_object() || !json.value("zone", nlohmann::json()).is_string()
         || !json.value("address", nlohmann::json()).is_string())
-        return notRun(
-            failure_kind::internal, "the share record of " + std::string(vm) + " names no zone or address");
+        return notRun(failure_kind::internal,
+            "share record of " + std::string(vm) + ": zone or address is missing or not a string");
     return share_record { std::string(vm), json["zone"], json["address"] };
 }
 
--- a/libs/fleet/tests/fleet_fixtures.h
+++ b/libs/fleet/tests/fleet_fixtures.h
@@ -17,8 +17,9 @@
     return condition();
 }
 
-/// The values whose keys begin so.
-inline store_listing listingOf(const std::map<std::string, std::string>& values, std::string_view prefix)
+/// A listing of the values whose keys have the prefix.
+inline store_listing listingWithPrefix(
+    const std::map<std::string, std::string>& values, std::string_view prefix)
 {
     store_listing listing;
     listing.revision = 5;
@@ -29,8 +30,8 @@
     return listing;
 }
 
-/// Reads documents of orders and targets that hold next to nothing.
-class plain_codec final : public fleet_codec {
+/// Minimal documents: a configuration is a version number, and a target's document is ignored.
+class minimal_codec final : public fleet_codec {
 public:
     std::string operatorPrefix() const override { return "orders/"; }
     std::string configurationKey() const override { return "orders/config"; }
