--- a/libs/batch/include/batch/batch.h
+++ b/libs/batch/include/batch/batch.h
@@ -38,11 +38,11 @@
 
     /// Creates a job, or finds the one that an earlier submission under the same id created. It is durable
     /// when this returns. Fails with conflict if the id belongs to a job with other items.
-    struct creation {
+    struct create_result {
         stored_job job;
         bool existed = false;
     };
-    result<creation> create(job_record record, const std::vector<std::string>& chunks);
+    result<create_result> create(job_record record, const std::vector<std::string>& chunks);
 
     /// Fails with not_found, or with gone once its results have expired.
     result<stored_job> read(std::string_view id);
@@ -51,11 +51,11 @@
     result<std::optional<std::string>> readResults(std::string_view id, std::uint32_t chunk);
 
     /// Ids of running jobs, and of those that are held.
-    struct overview {
+    struct scan_result {
         std::vector<std::string> open;
         std::vector<std::string> held;
     };
-    result<overview> scan();
+    result<scan_result> scan();
 
     /// Takes a job that nobody holds. Returns the epoch, or nothing if somebody holds it or its progress is
     /// not the one named.
@@ -75,7 +75,7 @@
     result<stored_job> cancel(std::string_view id, std::string token, std::int64_t nowMs);
 
     /// Removes what is left of expired jobs, a few at a time. Returns how many.
-    result<std::size_t> removeExpired(std::int64_t nowMs, std::size_t most);
+    result<std::size_t> removeExpired(std::int64_t nowMs, std::size_t maxJobs);
 
 private:
     config_store& m_store;
--- a/libs/batch/src/batch_process.cpp
+++ b/libs/batch/src/batch_process.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr milliseconds maintainInterval { 100 };
-constexpr milliseconds idlePause { 20 };
-constexpr milliseconds noticeTimeout { 1000 };
-constexpr std::size_t supervisors = 3;
+constexpr milliseconds idlePollInterval { 20 };
+constexpr milliseconds notifyTimeout { 1000 };
+constexpr std::size_t supervisorCount = 3;
 constexpr milliseconds removalInterval { 5000 };
-constexpr std::size_t removalsAtOnce = 4;
+constexpr std::size_t removalsPerRound = 4;
 constexpr std::size_t resultsPageBytes = 1u << 20;
 
 job_view toView(const job_store::stored_job& job, bool existed)
@@ -30,8 +30,8 @@
 } // namespace
 
 struct batch_process::impl final : jobs_handler {
-    explicit impl(const process_options& given)
-        : options(given)
+    explicit impl(const process_options& processOptions)
+        : options(processOptions)
         , rpc(options.peers)
         , store(connectStore(options.store))
         , jobs(*store)
@@ -40,16 +40,16 @@
         , grants(
               rpc, [this](const auto& group, const auto& zone) { return follower.owners(group, zone); },
               [this](const auto& address) { follower.reportUnreachable(address); })
-        , runner(holder, grants, settings, options.zone, figures)
+        , runner(holder, grants, settings, options.zone, processMetrics)
         , server(options.rpc, options.peers, nullptr, this)
         , maintenance(maintainInterval, [this] { maintain(); })
     {
         http_server_options http;
         std::tie(http.address, http.port) = splitAddress(options.http);
-        observers = std::make_unique<http_server>(
-            http, [this](const http_request& request, reply_sink& sink) { observe(request, sink); });
+        statusServer = std::make_unique<http_server>(
+            http, [this](const http_request& request, reply_sink& sink) { serveStatus(request, sink); });
         for (unsigned i = 0; i < options.workers; ++i)
-            workers.emplace_back([this] { work(); });
+            workers.emplace_back([this] { runWorker(); });
         logEvent(log_level::info, "started", { { "rpc", options.rpc } });
     }
 
@@ -62,7 +62,7 @@
         if (!running.waitIdle(options.stopLimit))
             logEvent(log_level::warning, "stop limit reached",
                 { { "items", std::int64_t { running.running() } } });
-        holder.commitDue(std::chrono::steady_clock::now(), true);
+        holder.commitDueJobs(std::chrono::steady_clock::now(), true);
         // Items still running are abandoned; their jobs' next holder runs them again.
         holder.releaseAll();
         for (auto& worker : workers)
@@ -70,7 +70,7 @@
         logEvent(log_level::info, "graceful shutdown ends");
     }
 
-    void work()
+    void runWorker()
     {
         while (!stopping) {
             bool ran = false;
@@ -79,12 +79,12 @@
                 ran = runner.runOne();
             }
             if (!ran)
-                std::this_thread::sleep_for(idlePause);
+                std::this_thread::sleep_for(idlePollInterval);
         }
     }
 
     /// Batch processes in the order in which they are responsible for something.
-    std::vector<std::string> ranked(const std::string& what) const
+    std::vector<std::string> rankedAddresses(const std::string& rankingKey) const
     {
         std::vector<member_info> batches;
         for (const auto& member : follower.members()) {
@@ -92,39 +92,39 @@
                 batches.push_back(member);
         }
         std::vector<std::string> addresses;
-        for (const auto& member : rankMembers(what, batches))
+        for (const auto& member : rankMembers(rankingKey, batches))
             addresses.push_back(member.batchAddress);
         return addresses;
     }
 
     /// Whether this process is among the first so many; also if it knows of none, so that somebody is.
-    bool among(const std::string& what, std::size_t count) const
+    bool isAmongFirst(const std::string& rankingKey, std::size_t count) const
     {
-        const auto order = ranked(what);
+        const auto order = rankedAddresses(rankingKey);
         const auto end = order.begin() + static_cast<std::ptrdiff_t>(std::min(order.size(), count));
         return order.empty() || std::find(order.begin(), end, options.rpc) != end;
     }
 
     /// Hands an unheld job to the process responsible for it; false if that is this one, or it does not
     /// answer.
-    bool give(const std::string& id)
+    bool handOver(const std::string& id)
     {
-        const auto order = ranked(id);
+        const auto order = rankedAddresses(id);
         if (order.empty() || order.front() == options.rpc)
             return false;
-        return rpc.adopt(order.front(), id, noticeTimeout).has_value();
+        return rpc.adopt(order.front(), id, notifyTimeout).has_value();
     }
 
     void maintain()
     {
         const auto now = std::chrono::steady_clock::now();
         holder.maintain(now);
-        holder.commitDue(now, false);
-        if (among("job supervisor", supervisors))
-            holder.supervise([this](const std::string& id) { return give(id); }, now);
-        if (now >= nextRemoval && among("expiry", 1)) {
+        holder.commitDueJobs(now, false);
+        if (isAmongFirst("job supervisor", supervisorCount))
+            holder.supervise([this](const std::string& id) { return handOver(id); }, now);
+        if (now >= nextRemoval && isAmongFirst("expiry", 1)) {
             nextRemoval = now + removalInterval;
-            (void)jobs.removeExpired(wallClockMs(), removalsAtOnce);
+            (void)jobs.removeExpired(wallClockMs(), removalsPerRound);
         }
     }
 
@@ -133,7 +133,7 @@
         holder.adopt(std::string(id), std::chrono::steady_clock::now());
     }
 
-    void observe(const http_request& request, reply_sink& sink)
+    void serveStatus(const http_request& request, reply_sink& sink)
     {
         if (request.path == "/healthz")
             return sink.send({ 200, { { "Content-Type", "text/plain" } }, "ok\n" });
@@ -144,9 +144,9 @@
         if (request.path != "/metrics")
             return sink.send(
                 { 404, { { "Content-Type", "text/plain" } }, "known are /healthz, /readyz and /metrics\n" });
-        figures.set("yuccachute_jobs_held", static_cast<double>(holder.heldJobs()));
-        figures.set("yuccachute_results_dropped", static_cast<double>(holder.droppedResults()));
-        sink.send({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, figures.text() });
+        processMetrics.set("yuccachute_jobs_held", static_cast<double>(holder.heldJobs()));
+        processMetrics.set("yuccachute_results_dropped", static_cast<double>(holder.droppedResults()));
+        sink.send({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, processMetrics.text() });
     }
 
     result<job_view> submit(submit_request request) override
@@ -183,7 +183,7 @@
     }
 
     /// Another customer's job does not exist for this one.
-    result<job_store::stored_job> readFor(std::string_view customer, std::string_view id)
+    result<job_store::stored_job> readForCustomer(std::string_view customer, std::string_view id)
     {
         BOOST_OUTCOME_TRY(auto job, jobs.read(id));
         if (job.record.customer != customer)
@@ -193,14 +193,14 @@
 
     result<job_view> describe(std::string_view customer, std::string_view id) override
     {
-        BOOST_OUTCOME_TRY(auto job, readFor(customer, id));
+        BOOST_OUTCOME_TRY(auto job, readForCustomer(customer, id));
         return toView(job, true);
     }
 
     result<results_page> results(
         std::string_view customer, std::string_view id, std::uint64_t cursor) override
     {
-        BOOST_OUTCOME_TRY(auto job, readFor(customer, id));
+        BOOST_OUTCOME_TRY(auto job, readForCustomer(customer, id));
         results_page page;
         page.nextCursor = cursor;
         while (page.nextCursor < job.progress.resultChunks && page.lines.size() < resultsPageBytes) {
@@ -216,20 +216,20 @@
 
     result<job_view> cancel(std::string_view customer, std::string_view id) override
     {
-        BOOST_OUTCOME_TRY(auto before, readFor(customer, id));
+        BOOST_OUTCOME_TRY(auto before, readForCustomer(customer, id));
         const auto owner = jobs.holder(id);
         BOOST_OUTCOME_TRY(auto job, jobs.cancel(id, randomId(), wallClockMs()));
         holder.drop(std::string(id));
         // The holder learns of it at once; should this not reach it, its next commit or scan tells it.
         if (owner && owner.value() && *owner.value() != options.rpc
             && before.progress.state == job_state::running)
-            (void)rpc.cancel(*owner.value(), customer, id, noticeTimeout);
+            (void)rpc.cancel(*owner.value(), customer, id, notifyTimeout);
         return toView(job, true);
     }
 
     process_options options;
     settings_cell settings;
-    metrics figures;
+    metrics processMetrics;
     std::atomic<bool> stopping { false };
     work_counter running;
     rpc_client rpc;
@@ -240,7 +240,7 @@
     grant_client grants;
     item_runner runner;
     steady_time nextRemoval;
-    std::unique_ptr<http_server> observers;
+    std::unique_ptr<http_server> statusServer;
     std::vector<std::thread> workers;
     rpc_server server;
     periodic_thread maintenance;
--- a/libs/batch/src/item_runner.cpp
+++ b/libs/batch/src/item_runner.cpp
@@ -7,25 +7,25 @@
 namespace {
 
 /// An ask for spare capacity waits so long at one group before another is tried.
-constexpr milliseconds grantWait { 5000 };
+constexpr milliseconds slotWaitPerGroup { 5000 };
 constexpr milliseconds itemTimeout { 600000 };
 constexpr double bytesPerToken = 4;
 
 } // namespace
 
 item_runner::item_runner(job_holder& holder, grant_client& grants, const settings_cell& settings,
-    std::string zone, metrics& figures)
+    std::string zone, metrics& processMetrics)
     : m_holder(holder)
     , m_grants(grants)
     , m_settings(settings)
     , m_zone(std::move(zone))
-    , m_figures(figures)
+    , m_metrics(processMetrics)
 {
 }
 
 cancel_queue::cancel_queue()
 {
-    for (unsigned i = 0; i < threads; ++i)
+    for (unsigned i = 0; i < threadCount; ++i)
         m_threads.emplace_back([this] { run(); });
 }
 
@@ -67,87 +67,89 @@
     const auto item = m_holder.next(std::chrono::steady_clock::now());
     if (!item)
         return false;
-    const auto place = findPlace(*item);
-    if (!place) {
-        m_holder.finished(*item, { item_outcome::kind::not_run, {}, 0, place.error().message },
+    const auto grant = acquireSlot(*item);
+    if (!grant) {
+        m_holder.finished(*item, { item_outcome::kind::not_run, {}, 0, grant.error().message },
             std::chrono::steady_clock::now());
         return true;
     }
     const auto started = std::chrono::steady_clock::now();
-    const auto outcome = runOn(*item, place.value());
+    const auto outcome = runOnTarget(*item, grant.value());
     const auto now = std::chrono::steady_clock::now();
-    m_figures.observe("yuccachute_total_seconds", { item->customer, "bulk" }, now - started);
-    m_figures.count("yuccachute_items_total", "outcome",
-        outcome.what == item_outcome::kind::completed     ? "completed"
-            : outcome.what == item_outcome::kind::yielded ? "yielded"
-            : outcome.what == item_outcome::kind::not_run ? "not_run"
-                                                          : "failed");
+    m_metrics.observe("yuccachute_total_seconds", { item->customer, "bulk" }, now - started);
+    m_metrics.count("yuccachute_items_total", "outcome",
+        outcome.status == item_outcome::kind::completed     ? "completed"
+            : outcome.status == item_outcome::kind::yielded ? "yielded"
+            : outcome.status == item_outcome::kind::not_run ? "not_run"
+                                                            : "failed");
     m_holder.finished(*item, outcome, now);
     return true;
 }
 
-result<held_grant> item_runner::findPlace(const work_item& item)
+result<held_grant> item_runner::acquireSlot(const work_item& item)
 {
     const auto settings = m_settings.current();
     const auto effective = resolveRequest(settings->tree, item.customer, item.service, item.jobId);
     auto zones = settings->zonesOf(item.service);
     std::stable_partition(zones.begin(), zones.end(), [&](const auto& zone) { return zone == m_zone; });
     const auto now = std::chrono::steady_clock::now();
-    slot_request ask;
-    ask.customer = item.customer;
-    ask.workClass = work_class::bulk;
-    ask.hold = itemTimeout;
-    ask.weight = effective.weight;
-    ask.cost = static_cast<double>(item.request.prompt.size()) / bytesPerToken + item.request.maxTokens;
-    ask.prefixes = prefixHashes(item.request.prompt);
-    ask.due = now + milliseconds { std::max<std::int64_t>(0, item.dueMs - wallClockMs()) };
-    failure last = notRun(failure_kind::unavailable, "service \"" + item.service + "\" has no targets");
+    slot_request slotRequest;
+    slotRequest.customer = item.customer;
+    slotRequest.workClass = work_class::bulk;
+    slotRequest.hold = itemTimeout;
+    slotRequest.weight = effective.weight;
+    slotRequest.cost
+        = static_cast<double>(item.request.prompt.size()) / bytesPerToken + item.request.maxTokens;
+    slotRequest.prefixes = prefixHashes(item.request.prompt);
+    slotRequest.due = now + milliseconds { std::max<std::int64_t>(0, item.dueMs - wallClockMs()) };
+    failure lastFailure
+        = notRun(failure_kind::unavailable, "service \"" + item.service + "\" has no targets");
     for (const auto& zone : zones) {
         for (const auto* group : settings->groupsOf(item.service, zone)) {
-            ask.deadline = std::chrono::steady_clock::now() + grantWait;
-            auto place = m_grants.acquire(group->name, zone, ask);
-            if (place)
-                return place;
-            last = place.error();
+            slotRequest.deadline = std::chrono::steady_clock::now() + slotWaitPerGroup;
+            auto grant = m_grants.acquire(group->name, zone, slotRequest);
+            if (grant)
+                return grant;
+            lastFailure = grant.error();
             if (item.abandon->load())
-                return last;
+                return lastFailure;
         }
     }
-    return last;
+    return lastFailure;
 }
 
-item_outcome item_runner::runOn(const work_item& item, const held_grant& place)
+item_outcome item_runner::runOnTarget(const work_item& item, const held_grant& grant)
 {
     std::string text;
     completion_attempt attempt;
-    attempt.address = place.address;
+    attempt.address = grant.address;
     attempt.requestId = item.jobId + '-' + std::to_string(item.index) + '-' + randomId().substr(0, 8);
     attempt.request = item.request;
     attempt.deadline = std::chrono::steady_clock::now() + itemTimeout;
     attempt.idleTimeout
         = resolveRequest(m_settings.current()->tree, item.customer, item.service).stallTimeout;
-    attempt.abandon = place.revoked->flag();
+    attempt.abandon = grant.revoked->flag();
     attempt.onEvent = [&](const completion_event& event) {
         text += event.text;
-        return !item.abandon->load() && !place.revoked->requested();
+        return !item.abandon->load() && !grant.revoked->requested();
     };
     // The target is told at once, not when this stream next moves: the live request is on its way there.
-    place.revoked->onRequest(
-        [this, address = place.address, id = attempt.requestId] { m_cancels.add(address, id); });
+    grant.revoked->onRequest(
+        [this, address = grant.address, id = attempt.requestId] { m_cancels.add(address, id); });
     const auto outcome = runCompletion(attempt);
-    place.revoked->onRequest({});
+    grant.revoked->onRequest({});
     if (!outcome.whole && outcome.error.ran != verdict::not_run)
-        cancelCompletion(place.address, attempt.requestId);
-    const bool revoked = place.revoked->requested();
-    grant_release figures;
-    figures.outcome = revoked || item.abandon->load() ? grant_outcome::abandoned : judgeTarget(outcome);
-    figures.firstToken = outcome.firstToken;
-    figures.tokens = static_cast<double>(outcome.events);
-    m_grants.release(place, figures);
-    return judge(outcome, std::move(text), revoked);
+        cancelCompletion(grant.address, attempt.requestId);
+    const bool revoked = grant.revoked->requested();
+    grant_release grantRelease;
+    grantRelease.outcome = revoked || item.abandon->load() ? grant_outcome::abandoned : judgeTarget(outcome);
+    grantRelease.firstToken = outcome.firstToken;
+    grantRelease.tokens = static_cast<double>(outcome.events);
+    m_grants.release(grant, grantRelease);
+    return toItemOutcome(outcome, std::move(text), revoked);
 }
 
-item_outcome item_runner::judge(const attempt_outcome& attempt, std::string text, bool revoked)
+item_outcome item_runner::toItemOutcome(const attempt_outcome& attempt, std::string text, bool revoked)
 {
     const auto tokens = static_cast<unsigned>(attempt.events);
     if (attempt.whole)
--- a/libs/batch/src/item_runner.h
+++ b/libs/batch/src/item_runner.h
@@ -19,7 +19,7 @@
     void add(std::string address, std::string requestId);
 
 private:
-    static constexpr unsigned threads = 4;
+    static constexpr unsigned threadCount = 4;
     void run();
 
     std::mutex m_mutex;
@@ -33,21 +33,21 @@
 class item_runner {
 public:
     item_runner(job_holder& holder, grant_client& grants, const settings_cell& settings, std::string zone,
-        metrics& figures);
+        metrics& processMetrics);
 
     /// Runs one item if there is one; returns whether there was.
     bool runOne();
 
 private:
-    result<held_grant> findPlace(const work_item& item);
-    item_outcome runOn(const work_item& item, const held_grant& place);
-    static item_outcome judge(const attempt_outcome& attempt, std::string text, bool revoked);
+    result<held_grant> acquireSlot(const work_item& item);
+    item_outcome runOnTarget(const work_item& item, const held_grant& grant);
+    static item_outcome toItemOutcome(const attempt_outcome& attempt, std::string text, bool revoked);
 
     job_holder& m_holder;
     grant_client& m_grants;
     const settings_cell& m_settings;
     std::string m_zone;
-    metrics& m_figures;
+    metrics& m_metrics;
     cancel_queue m_cancels;
 };
 
--- a/libs/batch/src/job_holder.cpp
+++ b/libs/batch/src/job_holder.cpp
@@ -24,7 +24,7 @@
 
 /// Returns whether there is a living lease. The time of a renewal counts from before it is sent: the store
 /// may have counted from any moment after.
-bool job_holder::keepLease(steady_time now)
+bool job_holder::ensureLease(steady_time now)
 {
     if (m_lease != 0 && now < m_nextRenewal)
         return true;
@@ -55,7 +55,7 @@
     return true;
 }
 
-void job_holder::retakeLost()
+void job_holder::reclaimLostJobs()
 {
     std::vector<std::pair<std::string, std::int64_t>> lost;
     {
@@ -82,36 +82,36 @@
 
 void job_holder::maintain(steady_time now)
 {
-    if (keepLease(now))
-        retakeLost();
+    if (ensureLease(now))
+        reclaimLostJobs();
 }
 
-void job_holder::supervise(const std::function<bool(const std::string&)>& give, steady_time now)
+void job_holder::supervise(const std::function<bool(const std::string&)>& handOver, steady_time now)
 {
     if (now < m_nextScan || m_stopping)
         return;
     m_nextScan = now + scanInterval;
-    const auto overview = m_jobs.scan();
-    if (!overview)
+    const auto scanned = m_jobs.scan();
+    if (!scanned)
         return;
-    const auto& [open, held] = overview.value();
+    const auto& [open, held] = scanned.value();
     // A job here that is no longer open was cancelled elsewhere.
-    std::vector<std::string> gone;
+    std::vector<std::string> missingIds;
     {
         const std::scoped_lock lock(m_mutex);
         for (const auto& [id, job] : m_held) {
             if (!job.committing && !std::binary_search(open.begin(), open.end(), id))
-                gone.push_back(id);
+                missingIds.push_back(id);
         }
     }
-    for (const auto& id : gone) {
+    for (const auto& id : missingIds) {
         const auto job = m_jobs.read(id);
         if ((job && job.value().progress.state != job_state::running)
             || (!job && job.error().kind == failure_kind::not_found))
             drop(id);
     }
     for (const auto& id : open) {
-        if (!std::binary_search(held.begin(), held.end(), id) && !give(id))
+        if (!std::binary_search(held.begin(), held.end(), id) && !handOver(id))
             adopt(id, now);
     }
 }
@@ -119,17 +119,17 @@
 void job_holder::adopt(const std::string& id, steady_time now)
 {
     // While the store is away, or enough jobs are held, a scan finds the job later, here or elsewhere.
-    if (m_stopping || heldJobs() >= m_options.mostJobs)
+    if (m_stopping || heldJobs() >= m_options.maxHeldJobs)
         return;
     {
         const std::scoped_lock lock(m_mutex);
         if (m_lease == 0 || now >= m_leaseUntil)
             return;
     }
-    take(id);
+    claimJob(id);
 }
 
-void job_holder::take(const std::string& id)
+void job_holder::claimJob(const std::string& id)
 {
     {
         const std::scoped_lock lock(m_mutex);
@@ -165,7 +165,7 @@
 /// The earliest due job first; among jobs due at about the same time, the one that has been served least.
 std::optional<work_item> job_holder::next(steady_time now)
 {
-    constexpr std::int64_t sameDueMs = 60000;
+    constexpr std::int64_t dueWindowMs = 60000;
     const std::scoped_lock lock(m_mutex);
     if (m_stopping || m_lease == 0 || now >= m_leaseUntil)
         return std::nullopt;
@@ -176,18 +176,18 @@
         if (!job.lost && !job.run->ended())
             candidates.push_back(&job);
     }
-    if (uncommitted > m_options.mostUncommittedBytes)
+    if (uncommitted > m_options.maxUncommittedBytes)
         return std::nullopt;
     std::sort(candidates.begin(), candidates.end(), [](const held_job* a, const held_job* b) {
-        const auto dueA = a->run->record().dueMs / sameDueMs;
-        const auto dueB = b->run->record().dueMs / sameDueMs;
-        return dueA != dueB ? dueA < dueB : a->served < b->served;
+        const auto dueA = a->run->record().dueMs / dueWindowMs;
+        const auto dueB = b->run->record().dueMs / dueWindowMs;
+        return dueA != dueB ? dueA < dueB : a->startedItems < b->startedItems;
     });
     for (auto* job : candidates) {
         const auto start = job->run->next(now);
         if (!start)
             continue;
-        ++job->served;
+        ++job->startedItems;
         const auto& record = job->run->record();
         const auto& item = job->run->item(start->index);
         work_item work { record.id, record.customer, record.service, record.dueMs, start->index, {},
@@ -213,24 +213,24 @@
     job->second.run->finished(item.index, outcome, now);
 }
 
-void job_holder::commitDue(steady_time now, bool everything)
+void job_holder::commitDueJobs(steady_time now, bool flush)
 {
     std::vector<std::string> due;
     {
         const std::scoped_lock lock(m_mutex);
         // The more jobs, the longer their results are gathered, so that the calls a second stay bounded.
-        const auto age = everything ? milliseconds { 0 }
-                                    : m_options.commitAge * (1 + static_cast<int>(m_held.size()) / 8);
+        const auto age
+            = flush ? milliseconds { 0 } : m_options.commitAge * (1 + static_cast<int>(m_held.size()) / 8);
         for (auto& [id, job] : m_held) {
-            if (!job.lost && !job.committing && job.run->commitDue(now, age))
+            if (!job.lost && !job.committing && job.run->isCommitDue(now, age))
                 due.push_back(id);
         }
     }
     for (const auto& id : due)
-        commitOne(id, now);
+        commitJob(id, now);
 }
 
-void job_holder::commitOne(const std::string& id, steady_time now)
+void job_holder::commitJob(const std::string& id, steady_time now)
 {
     job_commit commit;
     job_record record;
--- a/libs/batch/src/job_holder.h
+++ b/libs/batch/src/job_holder.h
@@ -8,8 +8,8 @@
 struct holder_options {
     std::chrono::seconds leaseTtl { 30 };
     milliseconds commitAge { 2000 };
-    std::size_t mostJobs = 64; ///< Held at once.
-    std::size_t mostUncommittedBytes = 64u << 20; ///< Beyond that no item is started until a commit succeeds.
+    std::size_t maxHeldJobs = 64; ///< Held at once.
+    std::size_t maxUncommittedBytes = 64u << 20; ///< Beyond that no item is started until a commit succeeds.
 };
 
 /// An item handed to a worker.
@@ -38,11 +38,11 @@
 
     /// Renews the lease and retakes lost jobs.
     void maintain(steady_time now);
-    /// Looks through the running jobs, now and then. Whoever supervises takes the unheld ones that `give`
+    /// Looks through the running jobs, now and then. Whoever supervises takes the unheld ones that `handOver`
     /// does not find another holder for; with three supervisors whatever the fleet's size, the calls do not
     /// grow with it.
-    void supervise(const std::function<bool(const std::string& id)>& give, steady_time now);
-    void commitDue(steady_time now, bool everything);
+    void supervise(const std::function<bool(const std::string& id)>& handOver, steady_time now);
+    void commitDueJobs(steady_time now, bool flush);
     /// Takes a job that was just accepted here, or that a supervisor found unheld.
     void adopt(const std::string& id, steady_time now);
 
@@ -68,14 +68,14 @@
         bool committing = false;
         bool lost = false; ///< The lease lapsed; the job may be retaken.
         std::shared_ptr<std::atomic<bool>> abandon = std::make_shared<std::atomic<bool>>(false);
-        std::uint64_t served = 0; ///< Items handed out, to share among jobs.
+        std::uint64_t startedItems = 0; ///< Items handed out, to share among jobs.
     };
     using job_map = std::map<std::string, held_job, std::less<>>;
 
-    bool keepLease(steady_time now);
-    void retakeLost();
-    void take(const std::string& id);
-    void commitOne(const std::string& id, steady_time now);
+    bool ensureLease(steady_time now);
+    void reclaimLostJobs();
+    void claimJob(const std::string& id);
+    void commitJob(const std::string& id, steady_time now);
     void dropLocked(job_map::iterator job);
 
     job_store& m_jobs;
--- a/libs/batch/src/job_store.cpp
+++ b/libs/batch/src/job_store.cpp
@@ -14,10 +14,10 @@
 constexpr std::string_view openPrefix = "/yuccachute/job-open/";
 constexpr std::string_view ownerPrefix = "/yuccachute/job-owner/";
 constexpr std::string_view expiryPrefix = "/yuccachute/job-expiry/";
-constexpr int mostReads = 3;
+constexpr int maxStoreAttempts = 3;
 /// The record of an expired job stays so long, to answer 410 instead of 404.
 constexpr std::chrono::seconds tombstoneLifetime { 7 * 86400 };
-constexpr int mostCancelRaces = 20;
+constexpr int maxCancelAttempts = 20;
 
 std::string key(std::string_view prefix, std::string_view id)
 {
@@ -38,7 +38,7 @@
     return std::string(expiryPrefix) + time + std::string(id);
 }
 
-std::vector<std::string> idsOf(const store_listing& listing, std::string_view prefix)
+std::vector<std::string> extractIds(const store_listing& listing, std::string_view prefix)
 {
     std::vector<std::string> ids;
     for (const auto& value : listing.values)
@@ -47,15 +47,15 @@
 }
 
 /// Reads until the store answers, a few times.
-result<std::optional<stored_value>> readStubbornly(config_store& store, const std::string& at)
+result<std::optional<stored_value>> readWithRetries(config_store& store, const std::string& at)
 {
     auto found = store.get(at);
-    for (int attempt = 1; !found && attempt < mostReads; ++attempt)
+    for (int attempt = 1; !found && attempt < maxStoreAttempts; ++attempt)
         found = store.get(at);
     return found;
 }
 
-failure unknownOutcome(failure error)
+failure withUnknownOutcome(failure error)
 {
     error.ran = verdict::may_have_run;
     return error;
@@ -82,19 +82,19 @@
     return job;
 }
 
-result<job_store::creation> job_store::create(job_record record, const std::vector<std::string>& chunks)
+result<job_store::create_result> job_store::create(job_record record, const std::vector<std::string>& chunks)
 {
     const auto recordKey = key(recordPrefix, record.id);
-    const auto compare = [&](stored_job job) -> result<creation> {
-        const bool mine = job.record.token == record.token;
-        if (!mine && job.record.itemsHash != record.itemsHash)
+    const auto checkExisting = [&](stored_job job) -> result<create_result> {
+        const bool createdHere = job.record.token == record.token;
+        if (!createdHere && job.record.itemsHash != record.itemsHash)
             return notRun(
                 failure_kind::conflict, "header Idempotency-Key: it belongs to a job with other items");
-        return creation { std::move(job), !mine };
+        return create_result { std::move(job), !createdHere };
     };
     auto earlier = read(record.id);
     if (earlier)
-        return compare(std::move(earlier.value()));
+        return checkExisting(std::move(earlier.value()));
     if (earlier.error().kind == failure_kind::gone)
         return earlier.error();
     if (earlier.error().kind != failure_kind::not_found)
@@ -108,7 +108,7 @@
         input.writes.push_back({ chunkKey(inputPrefix, record.id, number), chunks[number], 0 });
         auto written = m_store.commit(input);
         // Writing the same chunk again changes nothing, so a lost reply is simply tried again.
-        for (int attempt = 1; !written && attempt < mostReads; ++attempt)
+        for (int attempt = 1; !written && attempt < maxStoreAttempts; ++attempt)
             written = m_store.commit(input);
         if (!written)
             return notRun(failure_kind::unavailable, written.error().message, milliseconds { 2000 });
@@ -124,19 +124,19 @@
         creating.writes.push_back({ chunkKey(inputPrefix, record.id, 0), chunks.front(), 0 });
     const auto outcome = m_store.commit(creating);
     if (outcome && outcome.value().applied)
-        return creation { { std::move(record), std::move(progress), outcome.value().revision }, false };
+        return create_result { { std::move(record), std::move(progress), outcome.value().revision }, false };
     if (!outcome && outcome.error().ran == verdict::not_run)
         return notRun(failure_kind::unavailable, outcome.error().message, milliseconds { 2000 });
     // Either another submission came first, or the reply was lost: the record's token tells which.
     auto now = read(record.id);
-    for (int attempt = 1; !now && now.error().kind != failure_kind::not_found && attempt < mostReads;
+    for (int attempt = 1; !now && now.error().kind != failure_kind::not_found && attempt < maxStoreAttempts;
          ++attempt)
         now = read(record.id);
     if (now)
-        return compare(std::move(now.value()));
+        return checkExisting(std::move(now.value()));
     if (now.error().kind == failure_kind::not_found)
         return notRun(failure_kind::unavailable, "the store did not take the job", milliseconds { 1000 });
-    return unknownOutcome(now.error());
+    return withUnknownOutcome(now.error());
 }
 
 result<std::vector<job_item>> job_store::readItems(const job_record& record)
@@ -164,15 +164,15 @@
     return std::optional<std::string>(std::move(lines));
 }
 
-result<job_store::overview> job_store::scan()
+result<job_store::scan_result> job_store::scan()
 {
     BOOST_OUTCOME_TRY(auto open, m_store.list(openPrefix, {}, 0, true));
-    overview all;
-    all.open = idsOf(open, openPrefix);
+    scan_result all;
+    all.open = extractIds(open, openPrefix);
     if (all.open.empty())
         return all;
     BOOST_OUTCOME_TRY(auto held, m_store.list(ownerPrefix, {}, 0, true));
-    all.held = idsOf(held, ownerPrefix);
+    all.held = extractIds(held, ownerPrefix);
     return all;
 }
 
@@ -191,7 +191,7 @@
     if (outcome.error().ran == verdict::not_run)
         return outcome.error();
     // The reply was lost: the owner's lease tells whether the claim is ours.
-    BOOST_OUTCOME_TRY(auto found, readStubbornly(m_store, at));
+    BOOST_OUTCOME_TRY(auto found, readWithRetries(m_store, at));
     if (found && found->lease == lease)
         return std::optional(found->createRevision);
     return std::optional<std::int64_t>();
@@ -239,9 +239,9 @@
     if (!outcome && outcome.error().ran == verdict::not_run)
         return outcome.error();
     // Refused, or the reply was lost: the token in the progress tells whether this very commit is there.
-    const auto found = readStubbornly(m_store, progressKey);
+    const auto found = readWithRetries(m_store, progressKey);
     if (!found)
-        return unknownOutcome(found.error());
+        return withUnknownOutcome(found.error());
     if (!found.value())
         return std::optional<std::int64_t>();
     BOOST_OUTCOME_TRY(auto progress, decodeProgress(found.value()->value));
@@ -255,7 +255,7 @@
 
 result<job_store::stored_job> job_store::cancel(std::string_view id, std::string token, std::int64_t nowMs)
 {
-    for (int race = 0; race < mostCancelRaces; ++race) {
+    for (int attempt = 0; attempt < maxCancelAttempts; ++attempt) {
         BOOST_OUTCOME_TRY(auto job, read(id));
         if (job.progress.state != job_state::running)
             return job;
@@ -283,9 +283,9 @@
     return notRun(failure_kind::conflict, "the job changes too fast; try again", milliseconds { 500 });
 }
 
-result<std::size_t> job_store::removeExpired(std::int64_t nowMs, std::size_t most)
+result<std::size_t> job_store::removeExpired(std::int64_t nowMs, std::size_t maxJobs)
 {
-    BOOST_OUTCOME_TRY(auto listing, m_store.list(expiryPrefix, {}, most, true));
+    BOOST_OUTCOME_TRY(auto listing, m_store.list(expiryPrefix, {}, maxJobs, true));
     std::size_t removed = 0;
     std::int64_t lease = 0;
     for (const auto& value : listing.values) {
--- a/libs/batch/tests/test_job_store.cpp
+++ b/libs/batch/tests/test_job_store.cpp
@@ -34,7 +34,7 @@
     job_store jobs { store };
     std::int64_t lease = store.grantLease(10s).value();
 
-    job_store::creation create(const std::string& token, std::size_t items = 3)
+    job_store::create_result create(const std::string& token, std::size_t items = 3)
     {
         return jobs.create(makeRecord(token, static_cast<std::uint32_t>(items)), packItems(makeItems(items)))
             .value();
--- a/libs/jobs/include/jobs/jobs.h
+++ b/libs/jobs/include/jobs/jobs.h
@@ -12,55 +12,57 @@
 #include <string_view>
 #include <vector>
 
-/// Bulk jobs: their items, what is stored of them, and the decisions of the process that runs one.
+/// Bulk jobs: their items, their stored representation and the scheduling state of a running job.
 /// Layer: coordination. No I/O.
 namespace yuccachute {
 
 // --- Items
 // ---------------------------------------------------------------------------------------------------
 
-constexpr std::size_t mostItemsPerJob = 58000;
-/// Values in the key-value service may have up to 1 MB; chunks stay well below.
-constexpr std::size_t mostChunkBytes = 512u << 10;
+constexpr std::size_t maxItemsPerJob = 58000;
+/// The key-value service limits a value to 1 MB; chunks stay well below that.
+constexpr std::size_t maxChunkBytes = 512u << 10;
 
 /// One item of a job.
 struct job_item {
-    std::string id; ///< The caller's, or "item-N".
+    std::string id; ///< Set by the caller, or "item-N" by default.
     std::string prompt;
     unsigned maxTokens = 16;
-    /// False for an item that must not run twice: it is never started again after its start was committed.
+    /// False for an item that must not run twice. A job holder that finds its start mark committed by an
+    /// earlier holder, and no result, records the item as failed instead of starting it.
     bool idempotent = true;
 };
 
-/// Parses JSON lines. The failure names the line; nothing of a job with a bad line is accepted.
+/// Parses JSON Lines input. One invalid line rejects the whole job; the failure names the line.
 result<std::vector<job_item>> parseItems(std::string_view lines);
 
-/// Compresses items into chunks of at most mostChunkBytes each.
+/// Serializes and compresses items into chunks of at most maxChunkBytes each.
 std::vector<std::string> packItems(std::span<const job_item> items);
 /// Reverses packItems() for one chunk.
 result<std::vector<job_item>> unpackItems(std::string_view chunk);
 
-/// Compresses text, and back. Unpacking damaged bytes fails.
 std::string compress(std::string_view text);
+/// Fails on damaged data, and on data that states an implausibly large decompressed size.
 result<std::string> decompress(std::string_view bytes);
 
-// --- What is stored
-// ------------------------------------------------------------------------------------------
+// --- Stored state
+// --------------------------------------------------------------------------------------------
 
-/// Written once, when the job is accepted.
+/// The immutable description of a job. Written when the job is accepted, and replaced only when its results
+/// expire.
 struct job_record {
     std::string id;
     std::string customer;
     std::string service;
-    std::string token; ///< Of the submission that created the job.
-    std::uint64_t itemsHash = 0; ///< To tell a resent submission from another job under the same key.
+    std::string token; ///< Identifies the submission that created the job.
+    std::uint64_t itemsHash = 0; ///< Distinguishes a resent submission from other items under the same key.
     std::uint32_t items = 0;
     std::uint32_t chunks = 0;
-    std::int64_t createdMs = 0; ///< Milliseconds since 1970.
+    std::int64_t createdMs = 0; ///< Milliseconds since the Unix epoch, as are the other times.
     std::int64_t dueMs = 0;
-    std::int64_t retentionMs = 0; ///< How long results stay readable after the end.
-    unsigned attempts = 4;
-    bool expired = false; ///< Only this record is left.
+    std::int64_t retentionMs = 0; ///< How long results stay readable after completion or cancellation.
+    unsigned attempts = 4; ///< Maximum number of attempts for each item.
+    bool expired = false; ///< True for the tombstone that remains once the results have been removed.
 };
 
 std::string encodeRecord(const job_record& record);
@@ -69,18 +71,18 @@
 enum class job_state : std::uint8_t { running, completed, cancelled };
 std::string_view toString(job_state state);
 
-/// Rewritten with every commit of results.
+/// The mutable state of a job, rewritten with every commit of results.
 struct job_progress {
     job_state state = job_state::running;
-    std::string token; ///< Of the commit that wrote it: settles a commit whose reply was lost.
+    std::string token; ///< Identifies the commit that wrote this, to verify a commit whose reply was lost.
     std::uint32_t resultChunks = 0;
     std::uint32_t completed = 0;
     std::uint32_t failed = 0;
     std::int64_t endedMs = 0;
-    std::vector<bool> ended; ///< One bit an item: its result is committed.
-    std::map<std::uint32_t, std::uint32_t> attempts; ///< Of items that have not ended.
+    std::vector<bool> ended; ///< For each item, whether its result is committed.
+    std::map<std::uint32_t, std::uint32_t> attempts; ///< Attempts used so far, by index of unfinished items.
     std::set<std::uint32_t> inFlight; ///< Items that were running at the commit.
-    std::set<std::uint32_t> startedOnce; ///< Non-idempotent items that may have started.
+    std::set<std::uint32_t> startedOnce; ///< Start marks: non-idempotent items that may have started.
 };
 
 std::string encodeProgress(const job_progress& progress);
@@ -89,57 +91,58 @@
 // --- Running a job
 // -------------------------------------------------------------------------------------------
 
-/// How one attempt at an item ended.
+/// The outcome of one attempt to run an item.
 struct item_outcome {
     enum class kind : std::uint8_t {
         completed,
-        not_run, ///< Nothing reached a target: no attempt was used.
-        yielded, ///< Given back for live work; the text so far is kept to go on from.
-        failed, ///< It cannot be told whether it ran, or it failed at the target: one attempt was used.
-        rejected ///< The target says that this item can never be completed.
+        not_run, ///< The request did not reach a target. Uses no attempt.
+        yielded, ///< Preempted by live requests. The generated text is kept and the item resumes after it.
+        failed, ///< Failed at the target, or it is unknown whether it ran. Uses one attempt.
+        rejected ///< The target reported that the item can never be completed.
     };
-    kind what = kind::completed;
-    std::string text; ///< Completed: the whole text. Yielded: the text of this attempt.
+    kind status = kind::completed;
+    std::string text; ///< The text generated by this attempt, if it completed or yielded.
     unsigned tokens = 0;
-    std::string reason; ///< Of a failure.
+    std::string reason; ///< Why the item failed, was rejected or did not run.
 };
 
 /// An item to run next.
 struct item_start {
     std::uint32_t index = 0;
-    std::string text; ///< Emitted by earlier attempts: the prompt goes on from there.
+    std::string text; ///< Generated by earlier attempts; to be appended to the prompt.
     unsigned tokensLeft = 0;
 };
 
-/// What to commit: result lines and the progress that goes with them, in one transaction.
+/// Result lines and the matching progress, to be committed in one transaction.
 struct job_commit {
-    std::string lines; ///< JSON lines, one a result; may be empty when only marks changed.
-    std::uint32_t resultChunk = 0; ///< Number of the chunk that the lines go into.
-    std::uint32_t results = 0;
+    std::string lines; ///< JSON Lines, one line for each result. May be empty if only start marks changed.
+    std::uint32_t resultChunk = 0; ///< Number of the result chunk to write the lines to.
+    std::uint32_t results = 0; ///< Number of lines.
     job_progress progress;
 };
 
-/// The decisions of the process that holds a job. Pure: what it returns is to be done, what happened is told
-/// to it. Not thread-safe.
+/// Schedules the items of one job in the process that holds it. Performs no I/O: the caller runs the items
+/// and commits that this class returns, and reports their outcomes to it. Not thread-safe.
 class job_run {
 public:
-    /// Takes a job over from its record, items and last progress. Items that were in flight then have used an
-    /// attempt, because they may be what ended their worker; they are suspects and run one at a time.
+    /// Resumes a job from its stored state. An item that was in flight at the last commit may have crashed
+    /// the process that ran it: it is charged one attempt, and such suspects run one at a time.
     job_run(job_record record, std::vector<job_item> items, job_progress progress);
 
     const job_record& record() const { return m_record; }
     const job_progress& progress() const { return m_progress; }
     const job_item& item(std::uint32_t index) const { return m_items[index]; }
 
-    /// The next item to start, or nothing now. A non-idempotent item is returned only once its start mark was
-    /// committed.
+    /// Returns the next item to start, or nothing if none can start now. A non-idempotent item is returned
+    /// only after its start mark has been committed.
     std::optional<item_start> next(steady_time now);
     void finished(std::uint32_t index, const item_outcome& outcome, steady_time now);
 
-    /// Whether there is something to commit at this time: enough results, old ones, the end, or a start mark
-    /// that an item waits for.
-    bool commitDue(steady_time now, milliseconds age) const;
-    /// Builds the commit of all that has happened. Exactly one of committed() and commitFailed() must follow.
+    /// Whether to commit now: there are enough results, the oldest has waited for `age`, all items have a
+    /// result, or an item waits for its start mark.
+    bool isCommitDue(steady_time now, milliseconds age) const;
+    /// Builds a commit of the current progress and the buffered results, as many as fit. Must be followed by
+    /// exactly one call of committed() or commitFailed().
     job_commit beginCommit(std::string token, std::int64_t nowMs);
     void committed(steady_time now);
     void commitFailed();
@@ -162,11 +165,11 @@
         bool failed = false;
     };
 
-    void queueAgain(std::uint32_t index, steady_time notBefore);
-    void endItem(std::uint32_t index, const std::string& text, unsigned tokens, steady_time now);
+    void requeue(std::uint32_t index, steady_time notBefore);
+    void completeItem(std::uint32_t index, const std::string& text, unsigned tokens, steady_time now);
     void failItem(std::uint32_t index, const std::string& reason, steady_time now);
-    void buffer(buffered_result result, steady_time now);
-    std::optional<std::uint32_t> takeStartable(std::deque<std::uint32_t>& queue, steady_time now);
+    void bufferResult(buffered_result result, steady_time now);
+    std::optional<std::uint32_t> popStartable(std::deque<std::uint32_t>& queue, steady_time now);
 
     job_record m_record;
     std::vector<job_item> m_items;
@@ -175,17 +178,17 @@
     std::deque<std::uint32_t> m_suspects;
     std::set<std::uint32_t> m_suspectSet;
     std::set<std::uint32_t> m_running;
-    std::map<std::uint32_t, item_state> m_states;
-    std::set<std::uint32_t> m_marksWanted; ///< Non-idempotent items whose start mark is to be committed.
-    std::set<std::uint32_t> m_marksCommitted;
+    std::map<std::uint32_t, item_state> m_itemStates;
+    std::set<std::uint32_t> m_requestedStartMarks; ///< Items whose start marks the next commit must contain.
+    std::set<std::uint32_t> m_committedStartMarks;
     std::vector<buffered_result> m_buffer;
     std::vector<buffered_result> m_committing;
     std::optional<job_progress> m_nextProgress;
     std::size_t m_bufferedBytes = 0;
-    std::optional<steady_time> m_oldest;
+    std::optional<steady_time> m_oldestResultAt;
 };
 
-/// Deterministic id of a job, so that a resent submission finds it.
+/// Hash of a job's input, to recognise a resent submission; see job_record::itemsHash.
 std::uint64_t hashItems(std::string_view lines);
 
 } // namespace yuccachute
--- a/libs/jobs/src/items.cpp
+++ b/libs/jobs/src/items.cpp
@@ -13,12 +13,12 @@
 using json = nlohmann::json;
 
 constexpr int compressionLevel = 3;
-/// Raw text of one chunk at first; split further if it does not compress below the limit.
-constexpr std::size_t rawChunkBytes = 1u << 20;
-constexpr std::size_t mostUnpackedBytes = 256u << 20;
-constexpr unsigned mostTokens = 1u << 20;
+/// Amount of uncompressed text to start a chunk with. A chunk that is too large after compression is split.
+constexpr std::size_t uncompressedChunkBytes = 1u << 20;
+constexpr std::size_t maxDecompressedBytes = 256u << 20;
+constexpr unsigned maxTokensPerItem = 1u << 20;
 
-failure badLine(std::size_t line, const std::string& problem)
+failure lineError(std::size_t line, const std::string& problem)
 {
     return notRun(failure_kind::bad_request, "line " + std::to_string(line) + ": " + problem);
 }
@@ -27,7 +27,7 @@
 {
     const auto document = json::parse(text, nullptr, false);
     if (!document.is_object())
-        return badLine(line, "not a JSON object");
+        return lineError(line, "not a JSON object");
     job_item item;
     item.id = "item-" + std::to_string(index);
     for (const auto& [name, value] : document.items()) {
@@ -36,21 +36,22 @@
         else if (name == "prompt" && value.is_string())
             item.prompt = value.get<std::string>();
         else if (name == "max_tokens" && value.is_number_unsigned() && value.get<std::uint64_t>() >= 1
-            && value.get<std::uint64_t>() <= mostTokens)
+            && value.get<std::uint64_t>() <= maxTokensPerItem)
             item.maxTokens = value.get<unsigned>();
         else if (name == "idempotent" && value.is_boolean())
             item.idempotent = value.get<bool>();
         else
-            return badLine(line,
+            return lineError(line,
                 "field \"" + name
-                    + "\" is unknown or has a wrong value; known are id, prompt, max_tokens and idempotent");
+                    + "\" is unknown or has an invalid value; the fields are id, prompt, max_tokens and "
+                      "idempotent");
     }
     if (!document.contains("prompt"))
-        return badLine(line, "field \"prompt\" is missing");
+        return lineError(line, "field \"prompt\" is missing");
     return item;
 }
 
-std::string toLine(const job_item& item)
+std::string toJsonLine(const job_item& item)
 {
     json document { { "id", item.id }, { "prompt", item.prompt }, { "max_tokens", item.maxTokens } };
     if (!item.idempotent)
@@ -58,21 +59,21 @@
     return document.dump(-1, ' ', false, json::error_handler_t::replace) + '\n';
 }
 
-void packInto(std::vector<std::string>& chunks, std::span<const job_item> items)
+void appendChunks(std::vector<std::string>& chunks, std::span<const job_item> items)
 {
     std::string text;
     std::size_t count = 0;
-    while (count < items.size() && text.size() < rawChunkBytes)
-        text += toLine(items[count++]);
+    while (count < items.size() && text.size() < uncompressedChunkBytes)
+        text += toJsonLine(items[count++]);
     auto packed = compress(text);
-    if (packed.size() > mostChunkBytes && count > 1) {
-        packInto(chunks, items.subspan(0, count / 2));
-        packInto(chunks, items.subspan(count / 2, count - count / 2));
+    if (packed.size() > maxChunkBytes && count > 1) {
+        appendChunks(chunks, items.subspan(0, count / 2));
+        appendChunks(chunks, items.subspan(count / 2, count - count / 2));
     } else {
         chunks.push_back(std::move(packed));
     }
     if (count < items.size())
-        packInto(chunks, items.subspan(count));
+        appendChunks(chunks, items.subspan(count));
 }
 
 } // namespace
@@ -87,15 +88,15 @@
         lines.remove_prefix(end == std::string_view::npos ? lines.size() : end + 1);
         if (text.find_first_not_of(" \t\r") == std::string_view::npos)
             continue;
-        if (items.size() == mostItemsPerJob)
+        if (items.size() == maxItemsPerJob)
             return notRun(failure_kind::too_large,
-                "line " + std::to_string(line) + ": a job has at most " + std::to_string(mostItemsPerJob)
-                    + " items");
+                "line " + std::to_string(line) + ": the job exceeds the limit of "
+                    + std::to_string(maxItemsPerJob) + " items");
         BOOST_OUTCOME_TRY(auto item, parseItem(text, line, items.size()));
-        if (toLine(item).size() > mostChunkBytes)
-            return badLine(line, "the item is larger than " + std::to_string(mostChunkBytes) + " bytes");
+        if (toJsonLine(item).size() > maxChunkBytes)
+            return lineError(line, "the item is larger than " + std::to_string(maxChunkBytes) + " bytes");
         if (!ids.insert(item.id).second)
-            return badLine(line, "id \"" + item.id + "\" stands twice");
+            return lineError(line, "id \"" + item.id + "\" is already used by an earlier line");
         items.push_back(std::move(item));
     }
     if (items.empty())
@@ -106,7 +107,7 @@
 std::vector<std::string> packItems(std::span<const job_item> items)
 {
     std::vector<std::string> chunks;
-    packInto(chunks, items);
+    appendChunks(chunks, items);
     return chunks;
 }
 
@@ -126,11 +127,11 @@
 result<std::string> decompress(std::string_view bytes)
 {
     const auto size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
-    if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > mostUnpackedBytes)
-        return notRun(failure_kind::internal, "stored bytes are damaged");
+    if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > maxDecompressedBytes)
+        return notRun(failure_kind::internal, "compressed data is damaged, or too large when decompressed");
     std::string text(size, '\0');
     if (ZSTD_decompress(text.data(), text.size(), bytes.data(), bytes.size()) != size)
-        return notRun(failure_kind::internal, "stored bytes are damaged");
+        return notRun(failure_kind::internal, "compressed data is damaged");
     return text;
 }
 
--- a/libs/jobs/src/records.cpp
+++ b/libs/jobs/src/records.cpp
@@ -8,17 +8,18 @@
 
 using json = nlohmann::json;
 
-std::string pack(const json& document)
+std::string toMessagePack(const json& document)
 {
     const auto bytes = json::to_msgpack(document);
     return { bytes.begin(), bytes.end() };
 }
 
-result<json> unpack(std::string_view bytes)
+result<json> fromMessagePack(std::string_view bytes)
 {
     auto document = json::from_msgpack(bytes.begin(), bytes.end(), true, false);
     if (!document.is_object())
-        return notRun(failure_kind::internal, "a stored job is damaged");
+        return notRun(
+            failure_kind::internal, "stored job data cannot be decoded: it is not a MessagePack object");
     return document;
 }
 
@@ -44,16 +45,16 @@
 
 std::string encodeRecord(const job_record& record)
 {
-    return pack({ { "id", record.id }, { "customer", record.customer }, { "service", record.service },
-        { "token", record.token }, { "hash", record.itemsHash }, { "items", record.items },
-        { "chunks", record.chunks }, { "created", record.createdMs }, { "due", record.dueMs },
-        { "retention", record.retentionMs }, { "attempts", record.attempts },
+    return toMessagePack({ { "id", record.id }, { "customer", record.customer },
+        { "service", record.service }, { "token", record.token }, { "hash", record.itemsHash },
+        { "items", record.items }, { "chunks", record.chunks }, { "created", record.createdMs },
+        { "due", record.dueMs }, { "retention", record.retentionMs }, { "attempts", record.attempts },
         { "expired", record.expired } });
 }
 
 result<job_record> decodeRecord(std::string_view bytes)
 {
-    BOOST_OUTCOME_TRY(auto document, unpack(bytes));
+    BOOST_OUTCOME_TRY(auto document, fromMessagePack(bytes));
     job_record record;
     record.id = document.value("id", "");
     record.customer = document.value("customer", "");
@@ -88,7 +89,7 @@
     json attempts = json::array();
     for (const auto& [index, count] : progress.attempts)
         attempts.push_back({ index, count });
-    return pack({ { "state", static_cast<int>(progress.state) }, { "token", progress.token },
+    return toMessagePack({ { "state", static_cast<int>(progress.state) }, { "token", progress.token },
         { "chunks", progress.resultChunks }, { "completed", progress.completed },
         { "failed", progress.failed }, { "ended_ms", progress.endedMs }, { "count", progress.ended.size() },
         { "ended", json::binary(toBytes(progress.ended)) }, { "attempts", std::move(attempts) },
@@ -97,7 +98,7 @@
 
 result<job_progress> decodeProgress(std::string_view bytes)
 {
-    BOOST_OUTCOME_TRY(auto document, unpack(bytes));
+    BOOST_OUTCOME_TRY(auto document, fromMessagePack(bytes));
     job_progress progress;
     try {
         progress.state = static_cast<job_state>(document.at("state").get<int>());
@@ -112,7 +113,8 @@
         progress.inFlight = document.at("in_flight").get<std::set<std::uint32_t>>();
         progress.startedOnce = document.at("started").get<std::set<std::uint32_t>>();
     } catch (const json::exception&) {
-        return notRun(failure_kind::internal, "a stored job's progress is damaged");
+        return notRun(failure_kind::internal,
+            "stored job progress cannot be decoded: a field is missing or has the wrong type");
     }
     return progress;
 }
--- a/libs/jobs/tests/test_jobs.cpp
+++ b/libs/jobs/tests/test_jobs.cpp
@@ -30,7 +30,7 @@
     return { item_outcome::kind::completed, std::move(text), 1, {} };
 }
 
-/// Commits as the store would.
+/// Commits successfully and returns the progress as read back from the store.
 job_progress commitNow(job_run& run, std::string& results)
 {
     auto commit = run.beginCommit("t", 5);
@@ -49,29 +49,30 @@
 
 } // namespace
 
-TEST_CASE("a bad line names its number and nothing is accepted")
+TEST_CASE("an invalid line rejects the whole job and the error names the line")
 {
-    const auto problem = [](const std::string& text) { return parseItems(text).error().message; };
-    const std::string good = "{\"prompt\":\"x\"}\n";
-    CHECK(parseItems(good + "\n" + good).value().size() == 2);
-    CHECK(parseItems(good).value()[0].id == "item-0");
-    CHECK(problem(good + "nonsense\n") == "line 2: not a JSON object");
-    CHECK(problem(good + "\n{\"id\":\"a\"}\n") == "line 3: field \"prompt\" is missing");
-    CHECK(problem("{\"prompt\":\"x\",\"id\":\"a\"}\n{\"prompt\":\"y\",\"id\":\"a\"}")
-        == "line 2: id \"a\" stands twice");
-    CHECK(problem("{\"prompt\":\"x\",\"max_tokens\":0}").find("line 1: field \"max_tokens\"") == 0);
-    CHECK(problem("{\"prompt\":\"x\",\"idempotant\":true}").find("line 1: field \"idempotant\"") == 0);
-    CHECK(problem("") == "the job has no items");
-    std::string many;
-    for (std::size_t i = 0; i <= mostItemsPerJob; ++i)
-        many += good;
-    CHECK(problem(many).find("at most 58000 items") != std::string::npos);
+    const auto parseError = [](const std::string& text) { return parseItems(text).error().message; };
+    const std::string validLine = "{\"prompt\":\"x\"}\n";
+    CHECK(parseItems(validLine + "\n" + validLine).value().size() == 2);
+    CHECK(parseItems(validLine).value()[0].id == "item-0");
+    CHECK(parseError(validLine + "nonsense\n") == "line 2: not a JSON object");
+    CHECK(parseError(validLine + "\n{\"id\":\"a\"}\n") == "line 3: field \"prompt\" is missing");
+    CHECK(parseError("{\"prompt\":\"x\",\"id\":\"a\"}\n{\"prompt\":\"y\",\"id\":\"a\"}")
+        == "line 2: id \"a\" is already used by an earlier line");
+    CHECK(parseError("{\"prompt\":\"x\",\"max_tokens\":0}").find("line 1: field \"max_tokens\"") == 0);
+    CHECK(parseError("{\"prompt\":\"x\",\"idempotant\":true}").find("line 1: field \"idempotant\"") == 0);
+    CHECK(parseError("") == "the job has no items");
+    std::string tooManyLines;
+    for (std::size_t i = 0; i <= maxItemsPerJob; ++i)
+        tooManyLines += validLine;
+    CHECK(parseError(tooManyLines).find("line 58001: the job exceeds the limit of 58000 items")
+        != std::string::npos);
 }
 
-TEST_CASE("items survive their chunks, and no chunk is too large")
+TEST_CASE("packed items can be unpacked and no chunk exceeds the size limit")
 {
     auto items = makeItems(3000);
-    // Text that hardly compresses.
+    // Pseudo-random text, which hardly compresses.
     std::uint64_t state = 1;
     for (auto& item : items) {
         for (int i = 0; i < 500; ++i) {
@@ -84,7 +85,7 @@
     CHECK(chunks.size() >= 3);
     std::vector<job_item> back;
     for (const auto& chunk : chunks) {
-        CHECK(chunk.size() <= mostChunkBytes);
+        CHECK(chunk.size() <= maxChunkBytes);
         auto unpacked = unpackItems(chunk);
         for (auto& item : unpacked.value())
             back.push_back(std::move(item));
@@ -96,13 +97,13 @@
     CHECK(!decodeProgress("damaged"));
 }
 
-TEST_CASE("every item ends exactly once, and the job with the last one")
+TEST_CASE("every item gets exactly one result and the job completes with the last one")
 {
     job_run run(makeRecord(), makeItems(1200), {});
     std::string results;
     while (const auto item = run.next(start))
         run.finished(item->index, completed("text"), start);
-    CHECK(run.commitDue(start, 5s));
+    CHECK(run.isCommitDue(start, 5s));
     while (!run.ended())
         commitNow(run, results);
     CHECK(count(results, "\"completed\"") == 1200);
@@ -110,24 +111,24 @@
     CHECK(run.progress().completed == 1200);
 }
 
-// Story: the store commits a group of results and its reply is lost, or refuses it; the holder commits again
-// and an item gets two results, or none.
-TEST_CASE("a commit that failed keeps its results for the next one")
+// Guards against an item with two results, or none, after the store refused a commit or its reply was lost
+// and the holder committed again.
+TEST_CASE("the next commit contains the results of a failed commit")
 {
     job_run run(makeRecord(), makeItems(2), {});
     run.finished(run.next(start)->index, completed("a"), start);
-    auto lost = run.beginCommit("t1", 1);
+    auto failedCommit = run.beginCommit("t1", 1);
     run.finished(run.next(start)->index, completed("b"), start);
     run.commitFailed();
-    const auto again = run.beginCommit("t2", 1);
-    CHECK(again.results == 2);
-    CHECK(again.resultChunk == lost.resultChunk);
-    CHECK(again.progress.state == job_state::completed);
+    const auto nextCommit = run.beginCommit("t2", 1);
+    CHECK(nextCommit.results == 2);
+    CHECK(nextCommit.resultChunk == failedCommit.resultChunk);
+    CHECK(nextCommit.progress.state == job_state::completed);
 }
 
-// Story: an item crashes its worker every time. Each new holder starts it again along with the others, loses
-// them all, and the job never ends.
-TEST_CASE("attempts that died with their worker count, and suspects run one at a time")
+// Guards against a job that never completes because one item crashes the batch process each time it runs:
+// every new holder would start it together with the other items and lose them all.
+TEST_CASE("an item in flight when its batch process crashed uses an attempt, and suspects run one at a time")
 {
     job_progress progress;
     std::string results;
@@ -142,45 +143,46 @@
                 run.finished(index, completed("x"), start);
         }
         progress = commitNow(run, results);
-        // The worker is lost here, with item 3 in flight.
+        // The batch process crashes here, with item 3 in flight.
     }
     CHECK(takeovers == 4);
     CHECK(count(results, "\"completed\"") == 5);
     CHECK(count(results, "\"failed\"") == 1);
     CHECK(progress.failed == 1);
 
-    job_progress lost;
-    lost.ended.resize(6);
-    lost.inFlight = { 1, 2, 3 };
-    job_run run(makeRecord(), makeItems(6), lost);
+    job_progress crashed;
+    crashed.ended.resize(6);
+    crashed.inFlight = { 1, 2, 3 };
+    job_run run(makeRecord(), makeItems(6), crashed);
     std::size_t suspects = 0;
     while (const auto item = run.next(start))
-        suspects += lost.inFlight.contains(item->index);
+        suspects += crashed.inFlight.contains(item->index);
     CHECK(suspects == 1);
 }
 
-// Story: a quote that must not be sent twice is running when its worker dies; the next worker runs it again.
-TEST_CASE("a non-idempotent item starts only after its mark and never twice")
+// Guards against a second run of a non-idempotent item that was running when its batch process crashed.
+TEST_CASE("a non-idempotent item starts only after its start mark is committed, and never twice")
 {
     auto items = makeItems(2);
     items[0].idempotent = false;
     job_run run(makeRecord(), items, {});
     CHECK(run.next(start)->index == 1);
     CHECK(!run.next(start));
-    CHECK(run.commitDue(start, 5s));
+    CHECK(run.isCommitDue(start, 5s));
     std::string results;
     const auto marked = commitNow(run, results);
     CHECK(marked.startedOnce.contains(0));
     CHECK(run.next(start)->index == 0);
 
-    job_run next(makeRecord(), items, marked);
-    for (auto item = next.next(start); item; item = next.next(start))
+    job_run nextRun(makeRecord(), items, marked);
+    for (auto item = nextRun.next(start); item; item = nextRun.next(start))
         CHECK(item->index != 0);
-    commitNow(next, results);
+    commitNow(nextRun, results);
     CHECK(count(results, "must not run twice") == 1);
 }
 
-TEST_CASE("failures are bounded, a yielded item goes on from its text, and what did not run costs nothing")
+TEST_CASE("failed attempts are limited, a yielded item resumes after its text, and an item that did not run "
+          "uses no attempt")
 {
     job_run run(makeRecord(2), makeItems(1), {});
     auto now = start;
