--- a/libs/batch/src/batch_process.cpp
+++ b/libs/batch/src/batch_process.cpp
@@ -63,7 +63,8 @@
             logEvent(log_level::warning, "stop limit reached",
                 { { "items", std::int64_t { running.running() } } });
         holder.commitDueJobs(std::chrono::steady_clock::now(), true);
-        // Items still running are abandoned; their jobs' next holder runs them again.
+        // Abandons the items that are still running; the next holders of their jobs run them again, unless
+        // they are not idempotent.
         holder.releaseAll();
         for (auto& worker : workers)
             worker.join();
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Batch processes in the order in which they are responsible for something.
+    /// Returns the addresses of the batch processes, ranked by their responsibility for the given key.
     std::vector<std::string> rankedAddresses(const std::string& rankingKey) const
     {
         std::vector<member_info> batches;
@@ -97,7 +98,8 @@
         return addresses;
     }
 
-    /// Whether this process is among the first so many; also if it knows of none, so that somebody is.
+    /// Returns whether this process is among the first `count` in the ranking. True if no batch process is
+    /// known, so that the duty is not left undone.
     bool isAmongFirst(const std::string& rankingKey, std::size_t count) const
     {
         const auto order = rankedAddresses(rankingKey);
@@ -105,8 +107,8 @@
         return order.empty() || std::find(order.begin(), end, options.rpc) != end;
     }
 
-    /// Hands an unheld job to the process responsible for it; false if that is this one, or it does not
-    /// answer.
+    /// Asks the process responsible for an unheld job to adopt it. Returns false if that is this process, or
+    /// if the call fails.
     bool handOver(const std::string& id)
     {
         const auto order = rankedAddresses(id);
@@ -142,8 +144,8 @@
             return sink.send({ ready ? 200u : 503u, { { "Content-Type", "text/plain" } },
                 ready ? "ready\n" : "not ready\n" });
         if (request.path != "/metrics")
-            return sink.send(
-                { 404, { { "Content-Type", "text/plain" } }, "known are /healthz, /readyz and /metrics\n" });
+            return sink.send({ 404, { { "Content-Type", "text/plain" } },
+                "not found; the paths are /healthz, /readyz and /metrics\n" });
         processMetrics.set("yuccachute_jobs_held", static_cast<double>(holder.heldJobs()));
         processMetrics.set("yuccachute_results_dropped", static_cast<double>(holder.droppedResults()));
         sink.send({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, processMetrics.text() });
@@ -154,7 +156,8 @@
         const auto tree = settings.current();
         if (stopping || tree->tree.version == 0)
             return notRun(failure_kind::unavailable,
-                stopping ? "this process is shutting down" : "this process has no settings yet",
+                stopping ? "this process is shutting down; submit the job to another one"
+                         : "this process has not received its settings yet; submit the job again later",
                 milliseconds { 1000 });
         const auto service = findService(tree->tree, request.service);
         if (!service || !service->model)
@@ -182,7 +185,7 @@
         return toView(created.job, created.existed);
     }
 
-    /// Another customer's job does not exist for this one.
+    /// Reads a job of a customer. A job of another customer is reported as not found.
     result<job_store::stored_job> readForCustomer(std::string_view customer, std::string_view id)
     {
         BOOST_OUTCOME_TRY(auto job, jobs.read(id));
@@ -220,7 +223,8 @@
         const auto owner = jobs.holder(id);
         BOOST_OUTCOME_TRY(auto job, jobs.cancel(id, randomId(), wallClockMs()));
         holder.drop(std::string(id));
-        // The holder learns of it at once; should this not reach it, its next commit or scan tells it.
+        // Notify the holder so that it stops the job now. If the call fails, the holder finds the job
+        // cancelled at its next commit or scan.
         if (owner && owner.value() && *owner.value() != options.rpc
             && before.progress.state == job_state::running)
             (void)rpc.cancel(*owner.value(), customer, id, notifyTimeout);
--- a/libs/batch/src/item_runner.cpp
+++ b/libs/batch/src/item_runner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// An ask for spare capacity waits so long at one group before another is tried.
+/// Time to wait for a slot in one target group before requesting one from the next group.
 constexpr milliseconds slotWaitPerGroup { 5000 };
 constexpr milliseconds itemTimeout { 600000 };
 constexpr double bytesPerToken = 4;
@@ -103,7 +103,7 @@
     slotRequest.prefixes = prefixHashes(item.request.prompt);
     slotRequest.due = now + milliseconds { std::max<std::int64_t>(0, item.dueMs - wallClockMs()) };
     failure lastFailure
-        = notRun(failure_kind::unavailable, "service \"" + item.service + "\" has no targets");
+        = notRun(failure_kind::unavailable, "service \"" + item.service + "\" has no target group");
     for (const auto& zone : zones) {
         for (const auto* group : settings->groupsOf(item.service, zone)) {
             slotRequest.deadline = std::chrono::steady_clock::now() + slotWaitPerGroup;
@@ -133,7 +133,8 @@
         text += event.text;
         return !item.abandon->load() && !grant.revoked->requested();
     };
-    // The target is told at once, not when this stream next moves: the live request is on its way there.
+    // Cancel at the target as soon as the grant is revoked instead of at the next event of this stream: the
+    // live request that needs the slot is already on its way to the target.
     grant.revoked->onRequest(
         [this, address = grant.address, id = attempt.requestId] { m_cancels.add(address, id); });
     const auto outcome = runCompletion(attempt);
--- a/libs/batch/src/item_runner.h
+++ b/libs/batch/src/item_runner.h
@@ -8,8 +8,8 @@
 
 namespace yuccachute {
 
-/// Tells targets to stop requests, from threads of its own, because whoever learns of a revocation must not
-/// block.
+/// Sends cancellations to targets from its own threads, because the callback that reports a revoked grant
+/// must not block.
 class cancel_queue {
 public:
     cancel_queue();
@@ -29,13 +29,14 @@
     std::vector<std::thread> m_threads;
 };
 
-/// Runs items in spare capacity: asks for bulk grants, streams from targets, gives way when told to.
+/// Runs items in spare capacity: requests a bulk slot grant, streams the completion from the target, and
+/// yields the slot when the grant is revoked. Thread-safe.
 class item_runner {
 public:
     item_runner(job_holder& holder, grant_client& grants, const settings_cell& settings, std::string zone,
         metrics& processMetrics);
 
-    /// Runs one item if there is one; returns whether there was.
+    /// Runs the next item to its outcome. Returns false if there was none to run.
     bool runOne();
 
 private:
--- a/libs/batch/src/job_holder.cpp
+++ b/libs/batch/src/job_holder.cpp
@@ -9,6 +9,7 @@
 namespace {
 
 constexpr milliseconds scanInterval { 2000 };
+/// The lease is considered invalid this long before its TTL has passed.
 constexpr milliseconds leaseMargin { 500 };
 constexpr int renewalsPerTtl = 3;
 
@@ -22,8 +23,8 @@
 {
 }
 
-/// Returns whether there is a living lease. The time of a renewal counts from before it is sent: the store
-/// may have counted from any moment after.
+/// Renews the lease if that is due, or obtains a new one. Returns false if the store did not confirm a lease.
+/// The TTL is counted from before the call is sent, because the store may have started it at any time since.
 bool job_holder::ensureLease(steady_time now)
 {
     if (m_lease != 0 && now < m_nextRenewal)
@@ -38,8 +39,9 @@
             return true;
         }
         if (renewed.error().kind != failure_kind::not_found)
-            return false; // Perhaps it still lives; the next round tries again.
-        logEvent(log_level::warning, "lease lapsed", { { "jobs", static_cast<std::int64_t>(heldJobs()) } });
+            return false; // The lease may still be valid; the next call retries the renewal.
+        logEvent(log_level::warning, "lease lapsed: the held jobs will be claimed again under a new lease",
+            { { "jobs", static_cast<std::int64_t>(heldJobs()) } });
         const std::scoped_lock lock(m_mutex);
         m_lease = 0;
         for (auto& [id, job] : m_held)
@@ -95,7 +97,7 @@
     if (!scanned)
         return;
     const auto& [open, held] = scanned.value();
-    // A job here that is no longer open was cancelled elsewhere.
+    // A held job that is no longer open was cancelled through another process, or ended under another holder.
     std::vector<std::string> missingIds;
     {
         const std::scoped_lock lock(m_mutex);
@@ -118,7 +120,8 @@
 
 void job_holder::adopt(const std::string& id, steady_time now)
 {
-    // While the store is away, or enough jobs are held, a scan finds the job later, here or elsewhere.
+    // If the job cannot be claimed here now, because the lease is not valid or too many jobs are held, a
+    // later scan by a supervisor finds a holder for it.
     if (m_stopping || heldJobs() >= m_options.maxHeldJobs)
         return;
     {
@@ -145,8 +148,8 @@
         return;
     auto items = m_jobs.readItems(job.record);
     if (!items) {
-        logEvent(
-            log_level::error, "job cannot be read", { { "job", id }, { "message", items.error().message } });
+        logEvent(log_level::error, "job released: its items cannot be read",
+            { { "job", id }, { "message", items.error().message } });
         m_jobs.release(id, *epoch.value());
         return;
     }
@@ -162,7 +165,8 @@
     m_held[id] = std::move(held);
 }
 
-/// The earliest due job first; among jobs due at about the same time, the one that has been served least.
+/// Prefers the job with the earliest due time. Among jobs due in the same minute, prefers the one with the
+/// fewest items started.
 std::optional<work_item> job_holder::next(steady_time now)
 {
     constexpr std::int64_t dueWindowMs = 60000;
@@ -205,7 +209,8 @@
 {
     const std::scoped_lock lock(m_mutex);
     const auto job = m_held.find(item.jobId);
-    // The abandon flag tells this holding of the job from a later one.
+    // Each time a job is claimed it gets a new abandon flag, so a differing flag shows that the item was
+    // started before this process dropped the job and claimed it again.
     if (job == m_held.end() || job->second.abandon != item.abandon) {
         ++m_droppedResults;
         return;
@@ -218,7 +223,7 @@
     std::vector<std::string> due;
     {
         const std::scoped_lock lock(m_mutex);
-        // The more jobs, the longer their results are gathered, so that the calls a second stay bounded.
+        // The commit interval grows with the number of held jobs, to limit the rate of store calls.
         const auto age
             = flush ? milliseconds { 0 } : m_options.commitAge * (1 + static_cast<int>(m_held.size()) / 8);
         for (auto& [id, job] : m_held) {
@@ -256,7 +261,8 @@
     if (!outcome)
         return job->second.run->commitFailed();
     if (!outcome.value()) {
-        logEvent(log_level::warning, "commit refused: the job is cancelled or held by another",
+        logEvent(log_level::warning,
+            "commit refused: the job was cancelled or has another holder; dropping its results",
             { { "job", id }, { "results", std::int64_t { commit.results } } });
         m_droppedResults += commit.results;
         return dropLocked(job);
@@ -264,7 +270,7 @@
     job->second.progressRevision = *outcome.value();
     job->second.run->committed(now);
     if (job->second.run->ended()) {
-        logEvent(log_level::info, "job ended",
+        logEvent(log_level::info, "job completed",
             { { "job", id }, { "completed", std::int64_t { commit.progress.completed } },
                 { "failed", std::int64_t { commit.progress.failed } } });
         m_held.erase(job);
@@ -281,7 +287,7 @@
 {
     const std::scoped_lock lock(m_mutex);
     if (const auto job = m_held.find(id); job != m_held.end() && !job->second.committing) {
-        logEvent(log_level::info, "job dropped", { { "job", id } });
+        logEvent(log_level::info, "job dropped: it is no longer running", { { "job", id } });
         dropLocked(job);
     }
 }
--- a/libs/batch/src/job_store.cpp
+++ b/libs/batch/src/job_store.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view ownerPrefix = "/yuccachute/job-owner/";
 constexpr std::string_view expiryPrefix = "/yuccachute/job-expiry/";
 constexpr int maxStoreAttempts = 3;
-/// The record of an expired job stays so long, to answer 410 instead of 404.
+/// For this time the record of an expired job is kept, so that requests for it get 410 instead of 404.
 constexpr std::chrono::seconds tombstoneLifetime { 7 * 86400 };
 constexpr int maxCancelAttempts = 20;
 
@@ -46,7 +46,7 @@
     return ids;
 }
 
-/// Reads until the store answers, a few times.
+/// Reads a key, with up to maxStoreAttempts attempts.
 result<std::optional<stored_value>> readWithRetries(config_store& store, const std::string& at)
 {
     auto found = store.get(at);
@@ -100,14 +100,15 @@
     if (earlier.error().kind != failure_kind::not_found)
         return notRun(failure_kind::unavailable, earlier.error().message, milliseconds { 2000 });
 
-    // Large inputs come first, each in a call of its own; the job exists only with the last call.
+    // The chunks of a large input are written first, each in its own transaction. The job does not exist
+    // before the last transaction, which writes its record.
     const bool single = chunks.size() == 1;
     for (std::uint32_t number = 0; !single && number < chunks.size(); ++number) {
         store_transaction input;
         input.conditions.push_back({ store_condition::kind::absent, recordKey, 0 });
         input.writes.push_back({ chunkKey(inputPrefix, record.id, number), chunks[number], 0 });
         auto written = m_store.commit(input);
-        // Writing the same chunk again changes nothing, so a lost reply is simply tried again.
+        // Writing a chunk is idempotent, so it can be retried when the reply is lost.
         for (int attempt = 1; !written && attempt < maxStoreAttempts; ++attempt)
             written = m_store.commit(input);
         if (!written)
@@ -127,7 +128,8 @@
         return create_result { { std::move(record), std::move(progress), outcome.value().revision }, false };
     if (!outcome && outcome.error().ran == verdict::not_run)
         return notRun(failure_kind::unavailable, outcome.error().message, milliseconds { 2000 });
-    // Either another submission came first, or the reply was lost: the record's token tells which.
+    // Either another submission created the job, or the reply was lost. The token of the stored record tells
+    // which.
     auto now = read(record.id);
     for (int attempt = 1; !now && now.error().kind != failure_kind::not_found && attempt < maxStoreAttempts;
          ++attempt)
@@ -135,7 +137,8 @@
     if (now)
         return checkExisting(std::move(now.value()));
     if (now.error().kind == failure_kind::not_found)
-        return notRun(failure_kind::unavailable, "the store did not take the job", milliseconds { 1000 });
+        return notRun(
+            failure_kind::unavailable, "the job was not stored; submit it again", milliseconds { 1000 });
     return withUnknownOutcome(now.error());
 }
 
@@ -146,12 +149,14 @@
     for (std::uint32_t number = 0; number < record.chunks; ++number) {
         BOOST_OUTCOME_TRY(auto chunk, m_store.get(chunkKey(inputPrefix, record.id, number)));
         if (!chunk)
-            return notRun(failure_kind::internal, "an input chunk of job " + record.id + " is missing");
+            return notRun(
+                failure_kind::internal, "job " + record.id + ": an input chunk is missing in the store");
         BOOST_OUTCOME_TRY(auto unpacked, unpackItems(chunk->value));
         std::move(unpacked.begin(), unpacked.end(), std::back_inserter(items));
     }
     if (items.size() != record.items)
-        return notRun(failure_kind::internal, "the input of job " + record.id + " is not whole");
+        return notRun(failure_kind::internal,
+            "job " + record.id + ": the number of stored items differs from its record");
     return items;
 }
 
@@ -190,7 +195,7 @@
         return outcome.value().applied ? std::optional(outcome.value().revision) : std::nullopt;
     if (outcome.error().ran == verdict::not_run)
         return outcome.error();
-    // The reply was lost: the owner's lease tells whether the claim is ours.
+    // The reply was lost. The lease of the owner key shows whether this claim took effect.
     BOOST_OUTCOME_TRY(auto found, readWithRetries(m_store, at));
     if (found && found->lease == lease)
         return std::optional(found->createRevision);
@@ -216,9 +221,9 @@
 {
     const auto progressKey = key(progressPrefix, record.id);
     store_transaction transaction;
-    // A holder that was paused past its lease has lost the owner key: its commit fails here, whatever it
-    // still believes. The progress's revision keeps out a commit of our own that took effect unnoticed, and a
-    // cancel.
+    // Fencing: a holder that was paused until its lease lapsed has lost the owner key, so the first condition
+    // refuses its commit. The condition on the progress revision refuses a commit after a cancel, and one
+    // that repeats an earlier commit of this process whose success it did not see.
     transaction.conditions.push_back(
         { store_condition::kind::create_revision, key(ownerPrefix, record.id), epoch });
     transaction.conditions.push_back({ store_condition::kind::mod_revision, progressKey, progressRevision });
@@ -238,7 +243,8 @@
         return std::optional(outcome.value().revision);
     if (!outcome && outcome.error().ran == verdict::not_run)
         return outcome.error();
-    // Refused, or the reply was lost: the token in the progress tells whether this very commit is there.
+    // The commit was refused or its reply was lost. The token of the stored progress shows whether this
+    // commit took effect.
     const auto found = readWithRetries(m_store, progressKey);
     if (!found)
         return withUnknownOutcome(found.error());
@@ -249,8 +255,8 @@
         return std::optional(found.value()->modRevision);
     if (outcome)
         return std::optional<std::int64_t>();
-    // Not there, and nobody has refused it: it may be tried again.
-    return notRun(failure_kind::unavailable, "the commit did not reach the store");
+    // The commit neither took effect nor was refused, so it may be retried.
+    return notRun(failure_kind::unavailable, "the commit was not applied by the store; it will be retried");
 }
 
 result<job_store::stored_job> job_store::cancel(std::string_view id, std::string token, std::int64_t nowMs)
@@ -278,9 +284,10 @@
             job.progress = std::move(progress);
             return job;
         }
-        // A commit of results came first, or the reply was lost: look again.
+        // Either results were committed in between, or the reply was lost. Read the job again.
     }
-    return notRun(failure_kind::conflict, "the job changes too fast; try again", milliseconds { 500 });
+    return notRun(failure_kind::conflict,
+        "the job was changed concurrently at each attempt to cancel it; try again", milliseconds { 500 });
 }
 
 result<std::size_t> job_store::removeExpired(std::int64_t nowMs, std::size_t maxJobs)
--- a/libs/batch/tests/test_job_store.cpp
+++ b/libs/batch/tests/test_job_store.cpp
@@ -40,7 +40,7 @@
             .value();
     }
 
-    /// Loses the reply of the next call of that name, after it took effect.
+    /// Loses the reply of the next call with this name, after the call took effect.
     void loseReply(const std::string& call)
     {
         store.fault = [this, call](std::string_view name) -> std::optional<failure> {
@@ -62,9 +62,8 @@
 
 } // namespace
 
-// Story: a caller submits a street of roofs, the connection breaks, it submits again to another VM; each
-// house gets two quotes.
-TEST_CASE("a resent submission finds its job, also when the store's reply was lost")
+// Guards against running a job twice when its caller loses the connection and submits it again to another VM.
+TEST_CASE("a resent submission returns the existing job, also when the reply of the store was lost")
 {
     fixture f;
     f.loseReply("commit");
@@ -78,7 +77,7 @@
     CHECK(f.jobs.readItems(again.job.record).value().size() == 3);
 }
 
-TEST_CASE("a store that is down refuses a job truthfully")
+TEST_CASE("a failed submission reports not_run only if the job was certainly not stored")
 {
     fixture f;
     f.store.fault
@@ -92,9 +91,9 @@
     CHECK(f.jobs.create(makeRecord("t", 1), packItems(makeItems(1))).error().ran == verdict::may_have_run);
 }
 
-// Story: a worker is paused past its lease and another takes its job and commits; the first wakes and commits
-// the same items, and each has two results.
-TEST_CASE("a holder that was replaced cannot commit")
+// Guards against two results for an item: a holder is paused until its lease lapses, another process claims
+// the job and commits, and then the first holder resumes and commits the same items.
+TEST_CASE("a replaced holder cannot commit")
 {
     fixture f;
     const auto job = f.create("t").job;
@@ -115,7 +114,8 @@
     CHECK(f.jobs.read("job1").value().progress.state == job_state::completed);
 }
 
-TEST_CASE("a commit whose reply is lost is settled by reading, and one that never arrived is tried again")
+TEST_CASE(
+    "a commit whose reply was lost is verified by reading, and a commit that was not sent can be retried")
 {
     fixture f;
     const auto job = f.create("t").job;
@@ -134,9 +134,9 @@
     CHECK(*revision == f.jobs.read("job1").value().progressRevision);
 }
 
-// Story: a caller cancels a job at the moment its last results are committed; it is told "cancelled", and the
-// results appear all the same; or the job goes on running.
-TEST_CASE("cancel and commit exclude each other")
+// Guards against a race between a cancel and the last commit of a job, after which a job reported as
+// cancelled would still get results or keep running.
+TEST_CASE("a cancelled job refuses commits and a completed job cannot be cancelled")
 {
     fixture f;
     const auto job = f.create("t").job;
@@ -155,7 +155,7 @@
     CHECK(g.jobs.cancel("job1", "x", 7).value().progress.state == job_state::completed);
 }
 
-TEST_CASE("results stay readable for their time, then the job is gone")
+TEST_CASE("results stay readable for the retention time, then the job is reported as gone")
 {
     fixture f;
     const auto job = f.create("t").job;
