--- a/libs/batch/src/job_holder.cpp
+++ b/libs/batch/src/job_holder.cpp
@@ -9,6 +9,7 @@
 namespace {
 
 constexpr milliseconds scanInterval { 2000 };
+/// The lease is considered invalid this long before its TTL has passed.
 constexpr milliseconds leaseMargin { 500 };
 constexpr int renewalsPerTtl = 3;
 
@@ -22,9 +23,9 @@
 {
 }
 
-/// Returns whether there is a living lease. The time of a renewal counts from before it is sent: the store
-/// may have counted from any moment after.
-bool job_holder::keepLease(steady_time now)
+/// Renews the lease if that is due, or obtains a new one. Returns false if the store did not confirm a lease.
+/// The TTL is counted from before the call is sent, because the store may have started it at any time since.
+bool job_holder::ensureLease(steady_time now)
 {
     if (m_lease != 0 && now < m_nextRenewal)
         return true;
@@ -38,8 +39,9 @@
             return true;
         }
         if (renewed.error().kind != failure_kind::not_found)
-            return false; // Perhaps it still lives; the next round tries again.
-        logEvent(log_level::warning, "lease lapsed", { { "jobs", static_cast<std::int64_t>(heldJobs()) } });
+            return false; // The lease may still be valid; the next call retries the renewal.
+        logEvent(log_level::warning, "lease lapsed: the held jobs will be claimed again under a new lease",
+            { { "jobs", static_cast<std::int64_t>(heldJobs()) } });
         const std::scoped_lock lock(m_mutex);
         m_lease = 0;
         for (auto& [id, job] : m_held)
@@ -55,7 +57,7 @@
     return true;
 }
 
-void job_holder::retakeLost()
+void job_holder::reclaimLostJobs()
 {
     std::vector<std::pair<std::string, std::int64_t>> lost;
     {
@@ -82,54 +84,55 @@
 
 void job_holder::maintain(steady_time now)
 {
-    if (keepLease(now))
-        retakeLost();
+    if (ensureLease(now))
+        reclaimLostJobs();
 }
 
-void job_holder::supervise(const std::function<bool(const std::string&)>& give, steady_time now)
+void job_holder::supervise(const std::function<bool(const std::string&)>& handOver, steady_time now)
 {
     if (now < m_nextScan || m_stopping)
         return;
     m_nextScan = now + scanInterval;
-    const auto overview = m_jobs.scan();
-    if (!overview)
+    const auto scanned = m_jobs.scan();
+    if (!scanned)
         return;
-    const auto& [open, held] = overview.value();
-    // A job here that is no longer open was cancelled elsewhere.
-    std::vector<std::string> gone;
+    const auto& [open, held] = scanned.value();
+    // A held job that is no longer open was cancelled through another process, or ended under another holder.
+    std::vector<std::string> missingIds;
     {
         const std::scoped_lock lock(m_mutex);
         for (const auto& [id, job] : m_held) {
             if (!job.committing && !std::binary_search(open.begin(), open.end(), id))
-                gone.push_back(id);
+                missingIds.push_back(id);
         }
     }
-    for (const auto& id : gone) {
+    for (const auto& id : missingIds) {
         const auto job = m_jobs.read(id);
         if ((job && job.value().progress.state != job_state::running)
             || (!job && job.error().kind == failure_kind::not_found))
             drop(id);
     }
     for (const auto& id : open) {
-        if (!std::binary_search(held.begin(), held.end(), id) && !give(id))
+        if (!std::binary_search(held.begin(), held.end(), id) && !handOver(id))
             adopt(id, now);
     }
 }
 
 void job_holder::adopt(const std::string& id, steady_time now)
 {
-    // While the store is away, or enough jobs are held, a scan finds the job later, here or elsewhere.
-    if (m_stopping || heldJobs() >= m_options.mostJobs)
+    // If the job cannot be claimed here now, because the lease is not valid or too many jobs are held, a
+    // later scan by a supervisor finds a holder for it.
+    if (m_stopping || heldJobs() >= m_options.maxHeldJobs)
         return;
     {
         const std::scoped_lock lock(m_mutex);
         if (m_lease == 0 || now >= m_leaseUntil)
             return;
     }
-    take(id);
+    claimJob(id);
 }
 
-void job_holder::take(const std::string& id)
+void job_holder::claimJob(const std::string& id)
 {
     {
         const std::scoped_lock lock(m_mutex);
@@ -145,8 +148,8 @@
         return;
     auto items = m_jobs.readItems(job.record);
     if (!items) {
-        logEvent(
-            log_level::error, "job cannot be read", { { "job", id }, { "message", items.error().message } });
+        logEvent(log_level::error, "job released: its items cannot be read",
+            { { "job", id }, { "message", items.error().message } });
         m_jobs.release(id, *epoch.value());
         return;
     }
@@ -162,10 +165,11 @@
     m_held[id] = std::move(held);
 }
 
-/// The earliest due job first; among jobs due at about the same time, the one that has been served least.
+/// Prefers the job with the earliest due time. Among jobs due in the same minute, prefers the one with the
+/// fewest items started.
 std::optional<work_item> job_holder::next(steady_time now)
 {
-    constexpr std::int64_t sameDueMs = 60000;
+    constexpr std::int64_t dueWindowMs = 60000;
     const std::scoped_lock lock(m_mutex);
     if (m_stopping || m_lease == 0 || now >= m_leaseUntil)
         return std::nullopt;
@@ -176,18 +180,18 @@
         if (!job.lost && !job.run->ended())
             candidates.push_back(&job);
     }
-    if (uncommitted > m_options.mostUncommittedBytes)
+    if (uncommitted > m_options.maxUncommittedBytes)
         return std::nullopt;
     std::sort(candidates.begin(), candidates.end(), [](const held_job* a, const held_job* b) {
-        const auto dueA = a->run->record().dueMs / sameDueMs;
-        const auto dueB = b->run->record().dueMs / sameDueMs;
-        return dueA != dueB ? dueA < dueB : a->served < b->served;
+        const auto dueA = a->run->record().dueMs / dueWindowMs;
+        const auto dueB = b->run->record().dueMs / dueWindowMs;
+        return dueA != dueB ? dueA < dueB : a->startedItems < b->startedItems;
     });
     for (auto* job : candidates) {
         const auto start = job->run->next(now);
         if (!start)
             continue;
-        ++job->served;
+        ++job->startedItems;
         const auto& record = job->run->record();
         const auto& item = job->run->item(start->index);
         work_item work { record.id, record.customer, record.service, record.dueMs, start->index, {},
@@ -205,7 +209,8 @@
 {
     const std::scoped_lock lock(m_mutex);
     const auto job = m_held.find(item.jobId);
-    // The abandon flag tells this holding of the job from a later one.
+    // Each time a job is claimed it gets a new abandon flag, so a differing flag shows that the item was
+    // started before this process dropped the job and claimed it again.
     if (job == m_held.end() || job->second.abandon != item.abandon) {
         ++m_droppedResults;
         return;
@@ -213,24 +218,24 @@
     job->second.run->finished(item.index, outcome, now);
 }
 
-void job_holder::commitDue(steady_time now, bool everything)
+void job_holder::commitDueJobs(steady_time now, bool flush)
 {
     std::vector<std::string> due;
     {
         const std::scoped_lock lock(m_mutex);
-        // The more jobs, the longer their results are gathered, so that the calls a second stay bounded.
-        const auto age = everything ? milliseconds { 0 }
-                                    : m_options.commitAge * (1 + static_cast<int>(m_held.size()) / 8);
+        // The commit interval grows with the number of held jobs, to limit the rate of store calls.
+        const auto age
+            = flush ? milliseconds { 0 } : m_options.commitAge * (1 + static_cast<int>(m_held.size()) / 8);
         for (auto& [id, job] : m_held) {
-            if (!job.lost && !job.committing && job.run->commitDue(now, age))
+            if (!job.lost && !job.committing && job.run->isCommitDue(now, age))
                 due.push_back(id);
         }
     }
     for (const auto& id : due)
-        commitOne(id, now);
+        commitJob(id, now);
 }
 
-void job_holder::commitOne(const std::string& id, steady_time now)
+void job_holder::commitJob(const std::string& id, steady_time now)
 {
     job_commit commit;
     job_record record;
@@ -256,7 +261,8 @@
     if (!outcome)
         return job->second.run->commitFailed();
     if (!outcome.value()) {
-        logEvent(log_level::warning, "commit refused: the job is cancelled or held by another",
+        logEvent(log_level::warning,
+            "commit refused: the job was cancelled or has another holder; dropping its results",
             { { "job", id }, { "results", std::int64_t { commit.results } } });
         m_droppedResults += commit.results;
         return dropLocked(job);
@@ -264,7 +270,7 @@
     job->second.progressRevision = *outcome.value();
     job->second.run->committed(now);
     if (job->second.run->ended()) {
-        logEvent(log_level::info, "job ended",
+        logEvent(log_level::info, "job completed",
             { { "job", id }, { "completed", std::int64_t { commit.progress.completed } },
                 { "failed", std::int64_t { commit.progress.failed } } });
         m_held.erase(job);
@@ -281,7 +287,7 @@
 {
     const std::scoped_lock lock(m_mutex);
     if (const auto job = m_held.find(id); job != m_held.end() && !job->second.committing) {
-        logEvent(log_level::info, "job dropped", { { "job", id } });
+        logEvent(log_level::info, "job dropped: it is no longer running", { { "job", id } });
         dropLocked(job);
     }
 }
