--- a/libs/entry/include/entry/entry.h
+++ b/libs/entry/include/entry/entry.h
@@ -4,15 +4,16 @@
 
 #include <memory>
 
-/// The entry process: callers' HTTP interface, routing, limits, retries, membership, and the dispatcher of
-/// the target groups that it owns. Holds nothing that must last.
+/// The entry process: the HTTP interface for callers, routing, rate limits, retries, membership, and the
+/// dispatcher of the target groups that it owns. Has no persistent state.
 namespace yuccachute {
 
 class entry_process {
 public:
     /// Starts serving. Throws std::runtime_error if an address cannot be used.
     explicit entry_process(const process_options& options);
-    /// Graceful shutdown: refuses new work, lets running requests finish up to the limit, then stops.
+    /// Shuts down gracefully: refuses new requests, and waits for running ones up to
+    /// process_options::stopLimit.
     ~entry_process();
     entry_process(const entry_process&) = delete;
     entry_process& operator=(const entry_process&) = delete;
--- a/libs/entry/src/claims.cpp
+++ b/libs/entry/src/claims.cpp
@@ -9,19 +9,19 @@
 using json = nlohmann::json;
 
 constexpr std::string_view claimPrefix = "/yuccachute/claim/";
-/// Claims last for a day, through any loss of VMs; one lease an hour and entry carries them, so that the
-/// store removes them by itself.
+/// Claims last for at least a day, whichever VMs fail. Each entry attaches its claims to a lease of its own,
+/// which it replaces every hour; the store removes them when the lease expires.
 constexpr std::chrono::seconds claimLifetime { 25 * 3600 };
-constexpr std::chrono::hours leaseChange { 1 };
-constexpr std::size_t mostKeptBytes = 256u << 10;
-constexpr int mostReads = 3;
+constexpr std::chrono::hours leaseRenewalInterval { 1 };
+constexpr std::size_t maxStoredReplyBytes = 256u << 10;
+constexpr int maxReads = 3;
 
 std::string claimKey(const std::string& customer, std::string_view key)
 {
     return std::string(claimPrefix) + sha256Hex(customer + '\0' + std::string(key));
 }
 
-std::optional<http_reply> keptAnswer(const json& document)
+std::optional<http_reply> readStoredReply(const json& document)
 {
     const auto status = document.find("status");
     if (status == document.end())
@@ -34,16 +34,16 @@
     return reply;
 }
 
-/// Reads a claim that exists already.
+/// Decodes an existing claim.
 request_claims::claim readClaim(const std::string& value, const std::string& token)
 {
     const auto document = json::from_msgpack(value, true, false);
     if (!document.is_object())
         return {};
-    // A reply of the store was lost and the claim is this request's own.
+    // The claim is this request's own; the store's response to it was lost.
     if (document.value("request", "") == token)
         return { true, std::nullopt };
-    return { false, keptAnswer(document) };
+    return { false, readStoredReply(document) };
 }
 
 std::string writeClaim(const json& document)
@@ -61,7 +61,7 @@
         return m_lease;
     BOOST_OUTCOME_TRY(auto granted, m_store.grantLease(claimLifetime));
     m_lease = granted;
-    m_leaseRenewal = now + leaseChange;
+    m_leaseRenewal = now + leaseRenewalInterval;
     return m_lease;
 }
 
@@ -69,17 +69,17 @@
     const std::string& customer, std::string_view key, const std::string& token)
 {
     const auto refuse = [](const failure& error) {
-        return notRun(failure_kind::unavailable, "the idempotency key cannot be claimed: " + error.message,
-            milliseconds { 2000 });
+        return notRun(failure_kind::unavailable,
+            "cannot claim the idempotency key in the store: " + error.message, milliseconds { 2000 });
     };
     const auto current = lease(std::chrono::steady_clock::now());
     if (!current)
         return refuse(current.error());
-    const auto at = claimKey(customer, key);
+    const auto storeKey = claimKey(customer, key);
     store_transaction transaction;
-    transaction.conditions.push_back({ store_condition::kind::absent, at, 0 });
-    transaction.writes.push_back({ at, writeClaim({ { "request", token } }), current.value() });
-    transaction.readOtherwise.push_back(at);
+    transaction.conditions.push_back({ store_condition::kind::absent, storeKey, 0 });
+    transaction.writes.push_back({ storeKey, writeClaim({ { "request", token } }), current.value() });
+    transaction.readOtherwise.push_back(storeKey);
     const auto outcome = m_store.commit(transaction);
     if (outcome && outcome.value().applied)
         return claim { true, std::nullopt };
@@ -87,9 +87,9 @@
         return readClaim(outcome.value().found.at(0).value, token);
     if (outcome.error().ran == verdict::not_run)
         return refuse(outcome.error());
-    // The claim may have been written although its reply was lost: reading tells whose it is.
-    for (int attempt = 0; attempt < mostReads; ++attempt) {
-        const auto found = m_store.get(at);
+    // The claim may have been written although the response was lost. Reading it shows whose it is.
+    for (int attempt = 0; attempt < maxReads; ++attempt) {
+        const auto found = m_store.get(storeKey);
         if (found && found.value())
             return readClaim(found.value()->value, token);
         if (found)
@@ -98,11 +98,11 @@
     return refuse(outcome.error());
 }
 
-void request_claims::keepAnswer(
+void request_claims::storeReply(
     const std::string& customer, std::string_view key, const std::string& token, const http_reply& reply)
 {
     const auto current = lease(std::chrono::steady_clock::now());
-    if (!current || reply.body.size() > mostKeptBytes)
+    if (!current || reply.body.size() > maxStoredReplyBytes)
         return;
     const json document { { "request", token }, { "status", reply.status },
         { "type", std::string(findHeader(reply.headers, "Content-Type")) },
@@ -112,7 +112,7 @@
     (void)m_store.commit(transaction);
 }
 
-void request_claims::giveBack(const std::string& customer, std::string_view key)
+void request_claims::releaseClaim(const std::string& customer, std::string_view key)
 {
     store_transaction transaction;
     transaction.removals.push_back({ claimKey(customer, key), false });
--- a/libs/entry/src/claims.h
+++ b/libs/entry/src/claims.h
@@ -5,8 +5,9 @@
 
 namespace yuccachute {
 
-/// Claims of non-idempotent requests by their idempotency key, kept in the store: the first one runs, a
-/// resent one at any entry gets the first one's answer or is told that it may have run. Thread-safe.
+/// Claims of idempotency keys by non-idempotent requests, kept in the store. The first request with a key
+/// runs. A later one at any entry gets the stored response of the first, or a failure that the request may
+/// have run. Thread-safe.
 class request_claims {
 public:
     explicit request_claims(config_store& store)
@@ -14,19 +15,20 @@
     {
     }
 
-    /// What became of a claim.
+    /// Result of claiming a key.
     struct claim {
-        bool mine = false; ///< This request is the first: it may run.
-        std::optional<http_reply> earlier; ///< The answer of the first, if it was kept.
+        bool mine = false; ///< This request is the first with the key and may run.
+        std::optional<http_reply> earlierReply; ///< Response to the first request, if it was stored.
     };
 
-    /// Claims the key before the request runs. The store being down is an honest not_run.
+    /// Claims the key before the request runs. Fails with not_run if the store is unreachable.
     result<claim> take(const std::string& customer, std::string_view key, const std::string& token);
-    /// Keeps the answer for resent requests. Best effort: without it they learn that it may have run.
-    void keepAnswer(
+    /// Stores the response for later requests with the same key. Best effort: without it they fail with the
+    /// verdict may_have_run.
+    void storeReply(
         const std::string& customer, std::string_view key, const std::string& token, const http_reply& reply);
-    /// The request was not run after all: the key may be used again.
-    void giveBack(const std::string& customer, std::string_view key);
+    /// Removes the claim of a request that has not run, so that the key can be used again.
+    void releaseClaim(const std::string& customer, std::string_view key);
 
 private:
     result<std::int64_t> lease(steady_time now);
--- a/libs/entry/src/cluster.cpp
+++ b/libs/entry/src/cluster.cpp
@@ -13,11 +13,11 @@
 constexpr milliseconds gossipTimeout { 800 };
 constexpr milliseconds pullTimeout { 2000 };
 constexpr milliseconds storeCheckInterval { 50 };
-constexpr milliseconds processSilence { 3000 };
+constexpr milliseconds processTimeout { 3000 };
 constexpr std::size_t contactsPerZone = 3;
 constexpr std::size_t watchersPerZone = 3;
-constexpr std::uint64_t roundsBetweenZones = 2;
-constexpr std::uint64_t roundsBetweenSeeds = 10;
+constexpr std::uint64_t roundsBetweenZoneExchanges = 2;
+constexpr std::uint64_t roundsBetweenSeedExchanges = 10;
 
 member_info describeSelf(const process_options& options)
 {
@@ -40,7 +40,7 @@
     , m_settingsChanged(std::move(settingsChanged))
     , m_members(describeSelf(options), {}, std::chrono::steady_clock::now())
     , m_random(hashText(options.vm))
-    , m_storeThread(std::make_unique<periodic_thread>(storeCheckInterval, [this] { keepWatch(); }))
+    , m_storeThread(std::make_unique<periodic_thread>(storeCheckInterval, [this] { maintainWatch(); }))
     , m_gossipThread(std::make_unique<periodic_thread>(gossipInterval, [this] { round(); }))
 {
 }
@@ -93,8 +93,9 @@
     }
 }
 
-/// The own zone's members in full; of other zones only a few contacts, so that what is sent grows with the
-/// zone and not with the fleet.
+/// Returns all members of the own zone, but only a few contacts of each other zone, so that the size of a
+/// message grows with the zone and not with the fleet. For a peer in another zone the own zone is reduced to
+/// its contacts, too.
 std::vector<member_info> cluster::digestFor(std::string_view zone) const
 {
     std::map<std::string, std::vector<member_info>> byZone;
@@ -110,7 +111,7 @@
         contacts.resize(std::min(contacts.size(), contactsPerZone));
         digest.insert(digest.end(), contacts.begin(), contacts.end());
     }
-    // Whoever speaks is always part of what it says.
+    // A digest always includes its sender.
     const auto& self = m_members.self();
     if (std::none_of(digest.begin(), digest.end(), [&](const auto& member) { return member.vm == self.vm; }))
         digest.push_back(self);
@@ -136,7 +137,7 @@
     return found;
 }
 
-gossip_message cluster::gossip(const gossip_message& news)
+gossip_message cluster::gossip(const gossip_message& request)
 {
     gossip_message answer;
     bool newer = false;
@@ -144,14 +145,14 @@
         const std::scoped_lock lock(m_mutex);
         const auto now = std::chrono::steady_clock::now();
         m_members.setSettingsVersion(m_settings.version());
-        m_members.merge(news.members, now);
-        auto wanted = m_members.mergeHeartbeats(news.notes, now);
-        if (!news.notes.empty())
-            answer = describe(news.zone);
+        m_members.merge(request.members, now);
+        auto wanted = m_members.mergeHeartbeats(request.notes, now);
+        if (!request.notes.empty())
+            answer = describe(request.zone);
         answer.zone = m_options.zone;
         answer.wanted = std::move(wanted);
-        answer.members = wantedMembers(news.wanted);
-        newer = std::any_of(news.notes.begin(), news.notes.end(),
+        answer.members = wantedMembers(request.wanted);
+        newer = std::any_of(request.notes.begin(), request.notes.end(),
             [&](const auto& note) { return note.settingsVersion > m_settings.version(); });
     }
     if (newer)
@@ -161,34 +162,34 @@
 
 std::vector<std::pair<std::string, std::string>> cluster::pickPeers()
 {
-    std::vector<std::pair<std::string, std::string>> neighbours;
-    std::vector<std::pair<std::string, std::string>> strangers;
-    bool contact = false;
+    std::vector<std::pair<std::string, std::string>> zonePeers;
+    std::vector<std::pair<std::string, std::string>> otherZonePeers;
+    bool isContact = false;
     std::vector<member_info> zoneMembers;
     for (const auto& member : m_members.view()) {
         if (member.info.zone == m_options.zone && member.state != member_state::dead)
             zoneMembers.push_back(member.info);
         if (member.info.vm == m_options.vm)
             continue;
-        // Dead members are tried now and then, too: that is how a healed partition is noticed.
-        (member.info.zone == m_options.zone ? neighbours : strangers)
+        // Dead members are contacted as well, at times, to detect the end of a network partition.
+        (member.info.zone == m_options.zone ? zonePeers : otherZonePeers)
             .emplace_back(member.info.address, member.info.zone);
     }
     const auto ranked = rankMembers("contact", zoneMembers);
     for (std::size_t i = 0; i < std::min(ranked.size(), contactsPerZone); ++i)
-        contact = contact || ranked[i].vm == m_options.vm;
+        isContact = isContact || ranked[i].vm == m_options.vm;
     std::vector<std::pair<std::string, std::string>> chosen;
-    if (!neighbours.empty())
-        chosen.push_back(neighbours[m_random() % neighbours.size()]);
-    if (contact && !strangers.empty() && m_rounds % roundsBetweenZones == 0)
-        chosen.push_back(strangers[m_random() % strangers.size()]);
-    // All seeds are met until a neighbour is known; later one now and then, in case both sides have
-    // forgotten.
+    if (!zonePeers.empty())
+        chosen.push_back(zonePeers[m_random() % zonePeers.size()]);
+    if (isContact && !otherZonePeers.empty() && m_rounds % roundsBetweenZoneExchanges == 0)
+        chosen.push_back(otherZonePeers[m_random() % otherZonePeers.size()]);
+    // Contacts all seeds until a peer of the zone is known. Later it contacts one from time to time, in case
+    // two parts of the zone have removed each other from their member lists.
     for (const auto& seed : m_options.seeds) {
-        if (neighbours.empty() && seed != m_options.rpc)
+        if (zonePeers.empty() && seed != m_options.rpc)
             chosen.emplace_back(seed, m_options.zone);
     }
-    if (m_rounds % roundsBetweenSeeds == 0 && !m_options.seeds.empty()) {
+    if (m_rounds % roundsBetweenSeedExchanges == 0 && !m_options.seeds.empty()) {
         const auto& seed = m_options.seeds[m_random() % m_options.seeds.size()];
         if (seed != m_options.rpc)
             chosen.emplace_back(seed, m_options.zone);
@@ -196,15 +197,15 @@
     return chosen;
 }
 
-/// One exchange of heartbeats; a second call only if one side lacks whole members.
+/// Exchanges heartbeats with a peer. A second call follows only if one side lacks some members' data.
 void cluster::exchange(const std::string& address, std::string_view zone)
 {
-    gossip_message news;
+    gossip_message request;
     {
         const std::scoped_lock lock(m_mutex);
-        news = describe(zone);
+        request = describe(zone);
     }
-    const auto answer = m_client.gossip(address, news, gossipTimeout);
+    const auto answer = m_client.gossip(address, request, gossipTimeout);
     if (!answer)
         return reportUnreachable(address);
     gossip_message rest;
@@ -224,7 +225,7 @@
     pullFromNewest();
 }
 
-template <typename Settings> void cluster::offerSettings(Settings settings)
+template <typename Settings> void cluster::applyIfNewer(Settings settings)
 {
     if (!m_settings.offer(std::move(settings)))
         return;
@@ -252,23 +253,23 @@
         return;
     auto pulled = m_client.pull(newest->address, m_settings.version(), pullTimeout);
     if (pulled && pulled.value())
-        offerSettings(std::move(*pulled.value()));
+        applyIfNewer(std::move(*pulled.value()));
 }
 
-void cluster::forgetSilentProcesses(steady_time now)
+void cluster::dropUnresponsiveProcesses(steady_time now)
 {
-    if (now - m_batchSeen > processSilence) {
+    if (now - m_batchLastSeen > processTimeout) {
         m_members.setBatchAddress({});
         m_batchVersion = 0;
     }
-    if (now - m_adminSeen > processSilence) {
+    if (now - m_adminLastSeen > processTimeout) {
         m_members.setAdminAddress({});
         m_adminVersion = 0;
     }
-    updateOthersVersion();
+    updateOtherProcessesVersion();
 }
 
-void cluster::updateOthersVersion()
+void cluster::updateOtherProcessesVersion()
 {
     const bool both = m_batchVersion != 0 && m_adminVersion != 0;
     m_members.setOtherProcessesVersion(
@@ -281,7 +282,7 @@
     {
         const std::scoped_lock lock(m_mutex);
         const auto now = std::chrono::steady_clock::now();
-        forgetSilentProcesses(now);
+        dropUnresponsiveProcesses(now);
         m_members.setSettingsVersion(m_settings.version());
         m_members.tick(now);
         ++m_rounds;
@@ -297,18 +298,18 @@
     follow_reply reply;
     const std::scoped_lock lock(m_mutex);
     const auto now = std::chrono::steady_clock::now();
-    // Only processes of the same VM are announced with it; others merely follow.
+    // The entry announces only processes of its own VM to its peers. Others just receive the reply.
     if (request.vm == m_options.vm && !request.batchAddress.empty()) {
         m_members.setBatchAddress(request.batchAddress);
-        m_batchSeen = now;
+        m_batchLastSeen = now;
         m_batchVersion = request.settingsVersion;
     }
     if (request.vm == m_options.vm && !request.adminAddress.empty()) {
         m_members.setAdminAddress(request.adminAddress);
-        m_adminSeen = now;
+        m_adminLastSeen = now;
         m_adminVersion = request.settingsVersion;
     }
-    updateOthersVersion();
+    updateOtherProcessesVersion();
     for (const auto& member : m_members.view()) {
         if (member.state == member_state::alive || member.state == member_state::suspect)
             reply.members.push_back(member.info);
@@ -354,14 +355,14 @@
 {
     auto tree = readSettings(m_store);
     if (!tree) {
-        m_storeChanged = true; // Tried again in the next round.
+        m_storeChanged = true; // Read again at the next check.
         return;
     }
     const auto before = m_settings.version();
-    offerSettings(std::move(tree.value()));
+    applyIfNewer(std::move(tree.value()));
     if (m_settings.version() == before)
         return;
-    // The others learn of the new version at once instead of by the next heartbeats.
+    // Notifies the peers of the zone of the new version at once instead of with the next heartbeats.
     std::vector<std::string> addresses;
     for (const auto& member : view()) {
         if (member.info.zone == m_options.zone && member.info.vm != m_options.vm
@@ -372,10 +373,9 @@
         exchange(address, m_options.zone);
 }
 
-/// Keeps a watch on the settings while this entry is one of its zone's watchers. A waiting watch counts as a
-/// call of the store, so most entries have none. A process without settings reads the store whatever its
-/// rank.
-void cluster::keepWatch()
+/// Maintains a watch on the settings while this entry is one of its zone's watchers. A pending watch counts
+/// as a store call, so most entries have none. An entry without settings reads the store in any case.
+void cluster::maintainWatch()
 {
     const bool watcher = isWatcher();
     if (!watcher)
--- a/libs/entry/src/cluster.h
+++ b/libs/entry/src/cluster.h
@@ -7,23 +7,24 @@
 
 namespace yuccachute {
 
-/// Membership and settings of one entry: gossips with peers, watches the store if it is one of the zone's
-/// watchers, and takes newer settings from whoever has them. Thread-safe.
+/// Membership and settings of one entry. Gossips with its peers, watches the settings in the store if it is
+/// one of its zone's watchers, and pulls newer settings from any peer that has them. Thread-safe.
 class cluster {
 public:
     cluster(const process_options& options, rpc_client& client, config_store& store, settings_cell& settings,
         std::function<void()> settingsChanged);
     ~cluster();
 
-    /// Addresses of the entries responsible for a group, the first one first.
+    /// Addresses of the entries that can own a group; the first one is its owner, the others are its
+    /// successors.
     std::vector<std::string> owners(const std::string& group, const std::string& zone) const;
-    /// Address of the entry responsible for a group of this zone; empty if that is this one.
+    /// Address of the entry that owns a group of this zone, or an empty string if it is this one.
     std::string ownerElsewhere(const std::string& group) const;
-    /// Address of a batch process of this zone, or of another zone if it has none.
+    /// Addresses of batch processes, ranked for `key`: those of this zone before those of other zones.
     std::vector<std::string> batchAddresses(const std::string& key) const;
 
     void reportUnreachable(const std::string& address);
-    gossip_message gossip(const gossip_message& news);
+    gossip_message gossip(const gossip_message& request);
     follow_reply follow(const follow_request& request);
     std::vector<member_view> view() const;
 
@@ -38,12 +39,12 @@
     void exchange(const std::string& address, std::string_view zone);
     std::vector<std::pair<std::string, std::string>> pickPeers();
     void pullFromNewest();
-    /// Takes a tree or an update into force if it is newer.
-    template <typename Settings> void offerSettings(Settings settings);
-    void forgetSilentProcesses(steady_time now);
-    void updateOthersVersion();
+    /// Applies a settings tree or update if it is newer than the current settings.
+    template <typename Settings> void applyIfNewer(Settings settings);
+    void dropUnresponsiveProcesses(steady_time now);
+    void updateOtherProcessesVersion();
     bool isWatcher() const;
-    void keepWatch();
+    void maintainWatch();
     void readStore();
 
     process_options m_options;
@@ -53,8 +54,8 @@
     std::function<void()> m_settingsChanged;
     mutable std::mutex m_mutex;
     membership m_members;
-    steady_time m_batchSeen;
-    steady_time m_adminSeen;
+    steady_time m_batchLastSeen;
+    steady_time m_adminLastSeen;
     std::int64_t m_batchVersion = 0;
     std::int64_t m_adminVersion = 0;
     std::mt19937_64 m_random;
--- a/libs/entry/src/dispatcher_host.cpp
+++ b/libs/entry/src/dispatcher_host.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds pollInterval { 1000 };
 constexpr milliseconds pollTimeout { 400 };
 
-std::optional<load_report> parseLoad(const std::string& body)
+std::optional<load_report> parseLoadReport(const std::string& body)
 {
     const auto document = nlohmann::json::parse(body, nullptr, false);
     if (!document.is_object())
@@ -46,8 +46,10 @@
     std::mutex mutex;
     group_description description;
     target_group group;
-    std::map<std::string, std::unique_ptr<polling_client>> connections; ///< By address; the poller's own.
-    std::unique_ptr<periodic_thread> poller; ///< Destroyed first.
+    std::map<std::string, std::unique_ptr<polling_client>>
+        connections; ///< By address. Used by the poller thread only.
+    std::unique_ptr<periodic_thread>
+        poller; ///< Last member, so that the thread stops before the data it uses is destroyed.
 };
 
 dispatcher_host::dispatcher_host(const settings_cell& settings, std::string zone, ownership owner)
@@ -112,14 +114,15 @@
     return all;
 }
 
-void dispatcher_host::ask(std::uint64_t session, ask_message message, envelope& answer)
+void dispatcher_host::requestSlot(std::uint64_t session, ask_message message, envelope& answer)
 {
     const auto slotRequestId = message.ask.id;
     const auto settings = m_settings.current();
     const auto described = settings->groups.find(message.group);
     if (described == settings->groups.end()) {
         answer.refusals.push_back({ session, slotRequestId,
-            notRun(failure_kind::unavailable, "no such target group", milliseconds { 1000 }) });
+            notRun(failure_kind::unavailable, "the target group is not in the dispatcher's settings",
+                milliseconds { 1000 }) });
         return;
     }
     if (auto owner = m_owner(described->second); !owner.empty()) {
@@ -132,7 +135,8 @@
         const std::scoped_lock lock(hosted->mutex);
         hosted->group.ask(std::move(message.ask), std::chrono::steady_clock::now());
     }
-    // The acknowledgement tells a queue from a dead dispatcher; an ask that was decided at once needs none.
+    // The acknowledgement shows a waiting holder that the dispatcher is alive. A request that was decided at
+    // once needs none.
     if (!deliver(*hosted, session, slotRequestId))
         answer.moved.push_back({ slotRequestId, "" });
 }
@@ -157,7 +161,7 @@
     }
     envelope answer;
     for (auto& one : message.asks)
-        ask(session, std::move(one), answer);
+        requestSlot(session, std::move(one), answer);
     if (answer.empty())
         return;
     const std::scoped_lock lock(m_sessionMutex);
@@ -165,21 +169,21 @@
         found->second(std::move(answer));
 }
 
-bool dispatcher_host::deliver(hosted_group& hosted, std::uint64_t ownSession, std::uint64_t ownAsk)
+bool dispatcher_host::deliver(hosted_group& hosted, std::uint64_t ownSession, std::uint64_t ownSlotRequestId)
 {
-    bool ownDecided = false;
-    const auto note = [&](std::uint64_t holder, std::uint64_t slotRequestId) {
-        ownDecided = ownDecided || (holder == ownSession && slotRequestId == ownAsk);
+    bool requestDecided = false;
+    const auto noteDecision = [&](std::uint64_t holder, std::uint64_t slotRequestId) {
+        requestDecided = requestDecided || (holder == ownSession && slotRequestId == ownSlotRequestId);
     };
     std::map<std::uint64_t, envelope> bySession;
     {
         const std::scoped_lock lock(hosted.mutex);
         for (auto& one : hosted.group.takeDecisions()) {
             if (auto* given = std::get_if<slot_grant>(&one)) {
-                note(given->holder, given->slotRequestId);
+                noteDecision(given->holder, given->slotRequestId);
                 bySession[given->holder].grants.push_back(std::move(*given));
             } else if (auto* refused = std::get_if<slot_refusal>(&one)) {
-                note(refused->holder, refused->slotRequestId);
+                noteDecision(refused->holder, refused->slotRequestId);
                 bySession[refused->holder].refusals.push_back(std::move(*refused));
             }
             if (const auto* revoked = std::get_if<grant_revocation>(&one))
@@ -196,7 +200,7 @@
         if (send)
             send(std::move(message));
     }
-    return ownDecided;
+    return requestDecided;
 }
 
 void dispatcher_host::tick()
@@ -215,7 +219,7 @@
     std::vector<target_description> targets;
     {
         const std::scoped_lock lock(hosted.mutex);
-        // A group that another entry is responsible for now is that one's to watch.
+        // If another entry owns the group now, that entry polls its targets.
         if (!m_owner(hosted.description).empty())
             return;
         targets = hosted.description.targets;
@@ -233,7 +237,7 @@
         const auto now = std::chrono::steady_clock::now();
         if (!reply)
             hosted.group.reportUnreachable(target.name, now);
-        else if (const auto load = parseLoad(reply.value().body); load && reply.value().status == 200)
+        else if (const auto load = parseLoadReport(reply.value().body); load && reply.value().status == 200)
             hosted.group.report(target.name, *load, now);
     }
     deliver(hosted);
--- a/libs/entry/src/dispatcher_host.h
+++ b/libs/entry/src/dispatcher_host.h
@@ -7,11 +7,11 @@
 
 namespace yuccachute {
 
-/// Runs the target groups that this entry is dispatcher of: takes asks from sessions, ticks the groups, polls
-/// their targets' load. Thread-safe.
+/// Hosts the target groups for which this entry is the dispatcher: processes the slot requests of sessions,
+/// calls tick() of the groups and polls the load of their targets. Thread-safe.
 class dispatcher_host {
 public:
-    /// Address of the entry that is responsible for a group; empty if that is this one.
+    /// Returns the address of the entry that owns a group, or an empty string if it is this one.
     using ownership = std::function<std::string(const group_description& group)>;
 
     dispatcher_host(const settings_cell& settings, std::string zone, ownership owner);
@@ -21,10 +21,10 @@
     void sessionReceived(std::uint64_t session, envelope message);
     void sessionClosed(std::uint64_t session);
 
-    /// Takes over changed settings.
+    /// Applies the current settings to the hosted groups.
     void settingsChanged();
 
-    /// Figures of every group here, by name.
+    /// Summaries of all hosted groups, by name.
     std::map<std::string, group_summary> summaries() const;
 
 private:
@@ -32,11 +32,12 @@
 
     std::shared_ptr<hosted_group> findGroup(const std::string& name);
     std::vector<std::shared_ptr<hosted_group>> allGroups() const;
-    /// Sends what the group has decided. Returns whether an ask of a session was among it.
+    /// Sends the pending decisions of a group to their sessions. Returns whether the slot request
+    /// `slotRequestId` of `session` was among those decided.
     bool deliver(hosted_group& group, std::uint64_t session = 0, std::uint64_t slotRequestId = 0);
     void tick();
     void pollTargets(hosted_group& group);
-    void ask(std::uint64_t session, ask_message message, envelope& answer);
+    void requestSlot(std::uint64_t session, ask_message message, envelope& answer);
 
     const settings_cell& m_settings;
     std::string m_zone;
--- a/libs/entry/src/entry_process.cpp
+++ b/libs/entry/src/entry_process.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr milliseconds leaveNotice { 300 };
-constexpr milliseconds stopRetryAfter { 1000 };
-/// Exit code of a shutdown that reached its limit with requests running.
-constexpr int exitCutOff = 3;
+constexpr milliseconds leaveAnnouncementTime { 300 };
+constexpr milliseconds notReadyRetryAfter { 1000 };
+/// Exit code of a shutdown that reached its time limit while requests were running.
+constexpr int exitRequestsCutOff = 3;
 
-/// What an entry answers its peers.
+/// Handles the RPCs of peers.
 class entry_peers final : public peer_handler {
 public:
     entry_peers(cluster& peers, dispatcher_host& host, const settings_cell& settings)
@@ -34,7 +34,7 @@
         m_host.sessionReceived(session, std::move(message));
     }
     void sessionClosed(std::uint64_t session) override { m_host.sessionClosed(session); }
-    gossip_message gossip(const gossip_message& news) override { return m_peers.gossip(news); }
+    gossip_message gossip(const gossip_message& request) override { return m_peers.gossip(request); }
     follow_reply follow(const follow_request& request) override { return m_peers.follow(request); }
 
     std::optional<settings_update> pull(std::int64_t newerThan) override
@@ -48,12 +48,13 @@
     const settings_cell& m_settings;
 };
 
-/// A caller's request id is echoed and logged, so it is kept short and plain.
+/// Whether a request id from a caller is accepted. Ids are returned and logged, so their length and
+/// characters are restricted.
 bool isRequestId(std::string_view text)
 {
     constexpr std::string_view allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:";
-    constexpr std::size_t longest = 128;
-    return !text.empty() && text.size() <= longest
+    constexpr std::size_t maxLength = 128;
+    return !text.empty() && text.size() <= maxLength
         && text.find_first_not_of(allowed) == std::string_view::npos;
 }
 
@@ -123,7 +124,7 @@
             return sendFailure(context,
                 notRun(failure_kind::unavailable,
                     stopping ? "this entry is shutting down" : "this entry has no settings yet",
-                    stopRetryAfter));
+                    notReadyRetryAfter));
         constexpr std::string_view scheme = "Bearer ";
         const auto authorization = findHeader(context.request.headers, "Authorization");
         const auto customer = authorization.substr(0, scheme.size()) == scheme
@@ -132,7 +133,7 @@
         if (!customer)
             return sendFailure(context,
                 notRun(failure_kind::unauthorized,
-                    "header Authorization: must be \"Bearer \" and a known API key"));
+                    "header Authorization: must be \"Bearer \" followed by the API key of a customer"));
         context.customer = *customer;
         const auto& path = context.request.path;
         if (path == "/v1/completions" && context.request.method == "POST")
@@ -141,7 +142,8 @@
             return handlePlain(services, context);
         if (path.starts_with("/v1/batches"))
             return handleJobs(services, context);
-        sendFailure(context, notRun(failure_kind::not_found, "no such path or method"));
+        sendFailure(context,
+            notRun(failure_kind::not_found, "the path does not exist or does not support the method"));
     }
 
     void sendMetrics(reply_sink& sink)
@@ -177,20 +179,21 @@
         sink.send({ 200, { { "Content-Type", "application/json" } }, body.dump() + "\n" });
     }
 
-    /// Peers hear of it first and move the groups; running requests finish; then the ports close.
+    /// Graceful shutdown: notifies the peers, which take over the groups, waits for running requests, and
+    /// closes the listening ports last.
     void stop()
     {
         logEvent(
             log_level::info, "graceful shutdown begins", { { "running", std::int64_t { work.running() } } });
         peers.leave();
         stopping = true;
-        std::this_thread::sleep_for(leaveNotice);
+        std::this_thread::sleep_for(leaveAnnouncementTime);
         if (!work.waitIdle(options.stopLimit)) {
-            // The library's server would wait for its requests without limit.
+            // Exits without destroying the HTTP server, which would wait for its requests indefinitely.
             logEvent(
                 log_level::error, "stop limit reached", { { "cut_off", std::int64_t { work.running() } } });
             stopLogging();
-            std::_Exit(exitCutOff);
+            std::_Exit(exitRequestsCutOff);
         }
         callers.reset();
         logEvent(
@@ -206,9 +209,9 @@
     rpc_client rpc;
     std::unique_ptr<config_store> store;
     cluster peers;
-    grant_client grants; ///< Outlives the host, whose decisions reach it.
+    grant_client grants; ///< Declared before host, which sends decisions to it until it is destroyed.
     dispatcher_host host;
-    self_choice chooser;
+    local_slot_chooser chooser;
     customer_limits limits;
     request_claims claims;
     entry_peers handler;
--- a/libs/entry/src/job_requests.cpp
+++ b/libs/entry/src/job_requests.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view jobsPath = "/v1/batches";
 constexpr milliseconds submitTimeout { 60000 };
-constexpr milliseconds lookTimeout { 5000 };
+constexpr milliseconds readTimeout { 5000 };
 
 void sendJob(request_context& context, const result<job_view>& job, unsigned status)
 {
@@ -19,13 +19,14 @@
             writeJob(job.value()) });
 }
 
-/// Calls batch processes in turn until one answers for itself. Reading and cancelling may be repeated
-/// anywhere, and so may a submission: it finds the job that an earlier try created.
+/// Calls batch processes in turn until one gives a final response. All calls may be repeated at any process:
+/// reads and cancellations are idempotent, and a repeated submission finds the job of an earlier one.
 template <typename Call>
 auto callAnyBatch(entry_services& services, const std::string& key, const Call& call)
     -> decltype(call(std::string()))
 {
-    failure last = notRun(failure_kind::unavailable, "no batch process is known", milliseconds { 2000 });
+    failure last = notRun(
+        failure_kind::unavailable, "this entry knows no running batch process", milliseconds { 2000 });
     bool mayHaveRun = false;
     for (const auto& address : services.peers.batchAddresses(key)) {
         auto outcome = call(address);
@@ -38,7 +39,7 @@
         if (!another)
             break;
     }
-    // A refusal by the last one does not undo what an earlier one may have done.
+    // A refusal by the last process does not rule out that an earlier one ran the call.
     if (mayHaveRun && last.ran == verdict::not_run)
         last.ran = verdict::may_have_run;
     if (last.kind == failure_kind::unavailable && last.retryAfter.count() == 0)
@@ -63,7 +64,7 @@
                     "query parameter \"due_ms\": must be a whole number of milliseconds of at least 1000"));
         request.due = milliseconds { std::atoll(due.c_str()) };
     }
-    // Without a key of the caller's, a key for this request makes the tries below find one job.
+    // Without a key from the caller, a generated key lets all attempts below refer to the same job.
     if (request.idempotencyKey.empty())
         request.idempotencyKey = "request " + context.token;
     const auto job = callAnyBatch(services, request.idempotencyKey,
@@ -76,7 +77,7 @@
     const auto cursor
         = static_cast<std::uint64_t>(std::atoll(queryParameter(context.request.query, "cursor").c_str()));
     const auto page = callAnyBatch(services, id, [&](const std::string& address) {
-        return services.rpc.results(address, context.customer, id, cursor, lookTimeout);
+        return services.rpc.results(address, context.customer, id, cursor, readTimeout);
     });
     if (!page)
         return sendFailure(context, page.error());
@@ -96,28 +97,29 @@
     if (path == jobsPath && context.request.method == "POST")
         return submit(services, context);
     if (!path.starts_with(std::string(jobsPath) + '/'))
-        return sendFailure(context, notRun(failure_kind::not_found, "no such path"));
+        return sendFailure(context, notRun(failure_kind::not_found, "the path does not exist"));
     const auto rest = path.substr(jobsPath.size() + 1);
     const auto slash = rest.find('/');
     const auto id = rest.substr(0, slash);
-    const auto verb = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
-    if (verb.empty() && context.request.method == "GET")
+    const auto action = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
+    if (action.empty() && context.request.method == "GET")
         return sendJob(context,
             callAnyBatch(services, id,
                 [&](const std::string& address) {
-                    return services.rpc.describe(address, context.customer, id, lookTimeout);
+                    return services.rpc.describe(address, context.customer, id, readTimeout);
                 }),
             200);
-    if (verb == "results" && context.request.method == "GET")
+    if (action == "results" && context.request.method == "GET")
         return sendResults(services, context, id);
-    if (verb == "cancel" && context.request.method == "POST")
+    if (action == "cancel" && context.request.method == "POST")
         return sendJob(context,
             callAnyBatch(services, id,
                 [&](const std::string& address) {
-                    return services.rpc.cancel(address, context.customer, id, lookTimeout);
+                    return services.rpc.cancel(address, context.customer, id, readTimeout);
                 }),
             200);
-    sendFailure(context, notRun(failure_kind::not_found, "no such path or method"));
+    sendFailure(
+        context, notRun(failure_kind::not_found, "the path does not exist or does not support the method"));
 }
 
 } // namespace yuccachute
--- a/libs/entry/src/limits.cpp
+++ b/libs/entry/src/limits.cpp
@@ -8,9 +8,9 @@
     const std::scoped_lock lock(m_mutex);
     auto& budgets = m_customers[customer];
     if (const auto wait = budgets.requests.take(1, settings.requestsPerSecond, now); wait.count() > 0)
-        return notRun(failure_kind::limited, "the customer's requests_per_second are used up", wait);
+        return notRun(failure_kind::limited, "the customer's limit requests_per_second is exhausted", wait);
     if (const auto wait = budgets.tokens.take(tokens, settings.tokensPerSecond, now); wait.count() > 0)
-        return notRun(failure_kind::limited, "the customer's tokens_per_second are used up", wait);
+        return notRun(failure_kind::limited, "the customer's limit tokens_per_second is exhausted", wait);
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
--- a/libs/entry/src/limits.h
+++ b/libs/entry/src/limits.h
@@ -7,12 +7,13 @@
 /// Rate limits and retry budgets of each customer at this entry. Thread-safe.
 class customer_limits {
 public:
-    /// Takes one request and its tokens from the customer's rates, or says when to come back.
+    /// Takes one request and its tokens from the customer's rate limits. Fails with a retry delay if one of
+    /// them is exhausted.
     result<void> admit(
         const std::string& customer, const request_settings& settings, double tokens, steady_time now);
-    /// Counts a request towards the customer's retries.
+    /// Counts a request, which adds `retryShare` of a retry to the customer's retry budget.
     void countRequest(const std::string& customer, double retryShare);
-    /// Whether a retry may be made now.
+    /// Takes one retry from the customer's retry budget. Returns false if the budget is exhausted.
     bool takeRetry(const std::string& customer);
 
 private:
--- a/libs/entry/src/live_requests.cpp
+++ b/libs/entry/src/live_requests.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-constexpr std::size_t mostPromptBytes = 8u << 20;
+constexpr std::size_t maxPromptBytes = 8u << 20;
 constexpr double bytesPerToken = 4;
 
-/// One completion on its way: what the caller has got so far, and the attempts that go on from there.
+/// Serves one completion request. Holds the text that the caller has received so far, from which each further
+/// attempt continues.
 class completion_run {
 public:
     completion_run(entry_services& services, request_context& context, completion_request request)
@@ -25,10 +26,10 @@
 
     void run()
     {
-        auto error = attempts();
+        auto error = runAttempts();
         m_services.figures.observe(
             "yuccachute_total_seconds", labels(), std::chrono::steady_clock::now() - m_context.started);
-        recordEnd(m_services, m_context, m_request.model, m_lastTarget, error ? &*error : nullptr);
+        recordRequestEnd(m_services, m_context, m_request.model, m_lastTarget, error ? &*error : nullptr);
         if (error)
             return finishWithFailure(*error);
         finish();
@@ -37,32 +38,33 @@
 private:
     metric_labels labels() const { return { m_context.customer, "live" }; }
 
-    /// Runs attempts until one is whole; returns the failure to tell the caller, or nothing.
-    std::optional<failure> attempts()
+    /// Runs attempts until one completes. Returns the failure to report to the caller, or nullopt on success.
+    std::optional<failure> runAttempts()
     {
         m_services.limits.countRequest(m_context.customer, m_context.effective.retryShare);
         for (unsigned attempt = 0;; ++attempt) {
-            const auto place = findPlace(m_services, m_context, m_request.model, makeAsk());
-            if (!place)
-                return afterOutput(place.error());
-            m_services.figures.observe("yuccachute_queue_wait_seconds", labels(), place.value().waited);
-            const auto outcome = runOn(place.value(), attempt);
+            const auto slot = acquireSlot(m_services, m_context, m_request.model, makeSlotRequest());
+            if (!slot)
+                return withRunVerdict(slot.error());
+            m_services.figures.observe("yuccachute_queue_wait_seconds", labels(), slot.value().waited);
+            const auto outcome = runAttempt(slot.value(), attempt);
             if (outcome.whole)
                 return std::nullopt;
             if (m_callerGone)
                 return outcome.error;
-            if (!mayTryAgain(outcome.error) || attempt >= m_context.effective.retries
+            if (!canRetry(outcome.error) || attempt >= m_context.effective.retries
                 || std::chrono::steady_clock::now() >= m_context.deadline)
-                return afterOutput(outcome.error);
+                return withRunVerdict(outcome.error);
             if (!m_services.limits.takeRetry(m_context.customer))
-                return afterOutput(outcome.error);
+                return withRunVerdict(outcome.error);
             m_services.figures.count("yuccachute_retries_total", "verdict", toString(outcome.error.ran));
         }
     }
 
-    /// A request that was not run may always run elsewhere. One that may have run may do so only if it is
-    /// idempotent, and after output only as a continuation of the text that the caller already has.
-    bool mayTryAgain(const failure& error) const
+    /// Whether another attempt is allowed. A request that has not run may always run elsewhere; one that may
+    /// have run only if it is idempotent. After output it must continue the text that the caller already has,
+    /// which the settings must allow.
+    bool canRetry(const failure& error) const
     {
         if (error.ran == verdict::done || error.kind == failure_kind::bad_request)
             return false;
@@ -71,53 +73,54 @@
         return error.ran == verdict::not_run || m_idempotent;
     }
 
-    /// What the caller has seen of an answer has run.
-    failure afterOutput(failure error) const
+    /// Corrects the verdict of a failure: after output, or an earlier attempt that may have run, the request
+    /// cannot be reported as not run.
+    failure withRunVerdict(failure error) const
     {
         if (m_tokens > 0 || m_mayHaveRun)
             error.ran = error.ran == verdict::done ? verdict::done : verdict::may_have_run;
         return error;
     }
 
-    slot_request makeAsk() const
+    slot_request makeSlotRequest() const
     {
-        slot_request ask;
-        ask.customer = m_context.customer;
-        ask.workClass = work_class::live;
-        ask.weight = m_context.effective.weight;
-        ask.queueLimit = m_context.effective.queueLimit;
-        ask.cost
+        slot_request slotRequest;
+        slotRequest.customer = m_context.customer;
+        slotRequest.workClass = work_class::live;
+        slotRequest.weight = m_context.effective.weight;
+        slotRequest.queueLimit = m_context.effective.queueLimit;
+        slotRequest.cost
             = static_cast<double>(m_request.prompt.size()) / bytesPerToken + m_request.maxTokens - m_tokens;
-        ask.prefixes = prefixHashes(m_request.prompt);
-        ask.avoid = m_lastTarget;
-        ask.deadline = m_context.deadline;
-        return ask;
+        slotRequest.prefixes = prefixHashes(m_request.prompt);
+        slotRequest.avoid = m_lastTarget;
+        slotRequest.deadline = m_context.deadline;
+        return slotRequest;
     }
 
-    attempt_outcome runOn(const held_grant& place, unsigned number)
+    attempt_outcome runAttempt(const held_grant& slot, unsigned number)
     {
-        m_lastTarget = place.target;
+        m_lastTarget = slot.target;
         completion_attempt attempt;
-        attempt.address = place.address;
+        attempt.address = slot.address;
         attempt.requestId = m_context.token + '-' + std::to_string(number);
         attempt.request = m_request;
         attempt.request.prompt += m_text;
         attempt.request.maxTokens -= m_tokens;
         attempt.deadline = m_context.deadline;
         attempt.idleTimeout = m_context.effective.stallTimeout;
-        attempt.onEvent = [this](const completion_event& event) { return pass(event); };
+        attempt.onEvent = [this](const completion_event& event) { return relayText(event); };
         const auto sent = std::chrono::steady_clock::now();
         auto outcome = runCompletion(attempt);
         if (!outcome.whole && outcome.error.ran != verdict::not_run) {
             m_mayHaveRun = true;
-            cancelCompletion(place.address, attempt.requestId);
+            cancelCompletion(slot.address, attempt.requestId);
         }
         m_finishReason = outcome.finishReason;
         grant_release figures;
         figures.outcome = judgeTarget(outcome);
         figures.firstToken = outcome.firstToken;
         figures.tokens = static_cast<double>(outcome.events);
-        returnPlace(m_services, place, figures);
+        releaseSlot(m_services, slot, figures);
         observe(outcome, sent);
         return outcome;
     }
@@ -133,8 +136,8 @@
                 (now - sent - outcome.firstToken) / static_cast<std::int64_t>(outcome.events - 1));
     }
 
-    /// Passes text on to the caller; false once the caller has gone.
-    bool pass(const completion_event& event)
+    /// Sends text to the caller. Returns false once the caller has disconnected.
+    bool relayText(const completion_event& event)
     {
         if (m_tokens++ == 0)
             m_firstToken = std::chrono::steady_clock::now();
@@ -167,8 +170,8 @@
         m_context.sink.finish();
     }
 
-    /// A stream that has begun ends with an error event and without its final event, so that no caller takes
-    /// it for whole.
+    /// A stream that has started ends with an error event and without the final event, so that no caller
+    /// takes it as complete.
     void finishWithFailure(const failure& error)
     {
         if (!m_streaming)
@@ -223,7 +226,7 @@
 
 void handleCompletion(entry_services& services, request_context& context)
 {
-    auto parsed = parseCompletion(context.request.body, mostPromptBytes);
+    auto parsed = parseCompletion(context.request.body, maxPromptBytes);
     if (!parsed)
         return sendFailure(context, parsed.error());
     auto& request = parsed.value();
@@ -231,7 +234,7 @@
     if (!service || !service->model)
         return sendFailure(context,
             notRun(failure_kind::not_found,
-                "field \"model\": there is no model service \"" + request.model + '"'));
+                "field \"model\": no model service is named \"" + request.model + '"'));
     context.effective = resolveRequest(context.settings->tree, context.customer, request.model);
     if (const auto deadline = setDeadline(context); !deadline)
         return sendFailure(context, deadline.error());
--- a/libs/entry/src/places.cpp
+++ b/libs/entry/src/places.cpp
@@ -9,28 +9,31 @@
 
 namespace {
 
-/// Share of a target's slots that an entry takes when it chooses for itself.
-constexpr double selfChoiceShare = 0.5;
-/// A dispatcher's successor answers within about this time of its death, also on a busy VM.
+/// Share of a target's slots that all entries together use for slots that they grant themselves while no
+/// dispatcher responds.
+constexpr double localSlotShare = 0.5;
+/// Time within which the successor of a failed dispatcher responds, also on a busy VM.
 constexpr milliseconds takeoverTime { 1500 };
-/// A place of the own share comes back, or the successor answers, within some of these.
-constexpr milliseconds ownSharePause { 20 };
+/// Interval between attempts while the local share is in use. Within a few of these a local slot is released
+/// or the new dispatcher responds.
+constexpr milliseconds localShareRetryInterval { 20 };
 
-bool noDispatcher(const failure& error)
+bool noDispatcherResponded(const failure& error)
 {
     return error.kind == failure_kind::unavailable && error.retryAfter.count() == 0;
 }
 
 } // namespace
 
-result<held_grant> self_choice::acquire(const group_description& group, slot_request ask, std::size_t entries)
+result<held_grant> local_slot_chooser::acquire(
+    const group_description& group, slot_request slotRequest, std::size_t entries)
 {
     const auto now = std::chrono::steady_clock::now();
     auto targets = group.targets;
     for (auto& target : targets)
         target.slots = std::max(1u,
             static_cast<unsigned>(
-                target.slots * selfChoiceShare / static_cast<double>(std::max<std::size_t>(1, entries))));
+                target.slots * localSlotShare / static_cast<double>(std::max<std::size_t>(1, entries))));
     const std::scoped_lock lock(m_mutex);
     auto& chooser = m_groups[group.name];
     if (!chooser)
@@ -38,9 +41,9 @@
     chooser->setTargets(targets, now);
     chooser->tick(now);
     chooser->takeDecisions();
-    ask.holder = 1;
-    ask.id = 1;
-    chooser->ask(ask, now);
+    slotRequest.holder = 1;
+    slotRequest.id = 1;
+    chooser->ask(slotRequest, now);
     chooser->withdraw(1, 1, now);
     for (const auto& decision : chooser->takeDecisions()) {
         if (const auto* given = std::get_if<slot_grant>(&decision))
@@ -50,10 +53,11 @@
             return refused->reason;
     }
     return notRun(failure_kind::overloaded,
-        "no dispatcher answers, and this entry's own share of the targets is in use", milliseconds { 1000 });
+        "no dispatcher responds, and all slots that this entry may use without one are taken",
+        milliseconds { 1000 });
 }
 
-void self_choice::release(const held_grant& grant, grant_release figures)
+void local_slot_chooser::release(const held_grant& grant, grant_release figures)
 {
     const std::scoped_lock lock(m_mutex);
     if (const auto found = m_groups.find(grant.group); found != m_groups.end()) {
@@ -64,74 +68,75 @@
 
 namespace {
 
-/// One round through the zones. Sets ownShareUsed if no dispatcher answered and the entry's own share was in
-/// use.
+/// Tries the groups of each zone in turn. Sets `localShareExhausted` if for some group no dispatcher
+/// responded and the entry's local share was in use.
 result<held_grant> searchZones(entry_services& services, request_context& context, const std::string& service,
-    const slot_request& ask, bool& ownShareUsed)
+    const slot_request& slotRequest, bool& localShareExhausted)
 {
     auto zones = context.settings->zonesOf(service);
-    // The own zone first; the others in an order that spreads different prompts.
+    // The entry's own zone comes first.
     std::stable_partition(
         zones.begin(), zones.end(), [&](const auto& zone) { return zone == services.options.zone; });
     failure last = notRun(
         failure_kind::unavailable, "service \"" + service + "\" has no targets", milliseconds { 2000 });
-    std::optional<held_grant> failedBefore;
+    std::optional<held_grant> avoidedSlot;
     for (const auto& zone : zones) {
         auto groups = context.settings->groupsOf(service, zone);
-        // Requests with one prefix meet at one group, so that its targets' caches serve them.
-        const auto seed
-            = ask.prefixes.empty() ? std::hash<std::string> {}(context.requestId) : ask.prefixes.front();
+        // Requests with the same prompt prefix go to the same group, so that they hit the prefix caches of
+        // its targets. Other requests are spread over the groups.
+        const auto seed = slotRequest.prefixes.empty() ? std::hash<std::string> {}(context.requestId)
+                                                       : slotRequest.prefixes.front();
         std::sort(groups.begin(), groups.end(),
             [&](const auto* a, const auto* b) { return hashText(a->name, seed) > hashText(b->name, seed); });
         for (const auto* group : groups) {
-            auto place = services.grants.acquire(group->name, zone, ask);
-            if (!place && noDispatcher(place.error())) {
+            auto slot = services.grants.acquire(group->name, zone, slotRequest);
+            if (!slot && noDispatcherResponded(slot.error())) {
                 services.figures.count("yuccachute_self_choices_total", "zone", zone);
-                place
-                    = services.chooser.acquire(*group, ask, services.peers.owners(group->name, zone).size());
-                ownShareUsed = ownShareUsed || !place;
+                slot = services.chooser.acquire(
+                    *group, slotRequest, services.peers.owners(group->name, zone).size());
+                localShareExhausted = localShareExhausted || !slot;
             }
-            // The target that has just failed this request is the last resort, after all other groups and
-            // zones.
-            if (place && place.value().target == ask.avoid && !failedBefore) {
-                failedBefore = place.value();
+            // A slot at the target that has just failed this request is used only if no other group or zone
+            // has one.
+            if (slot && slot.value().target == slotRequest.avoid && !avoidedSlot) {
+                avoidedSlot = slot.value();
                 continue;
             }
-            if (place && failedBefore)
-                returnPlace(services, *failedBefore, { 0, grant_outcome::abandoned, milliseconds { 0 }, 0 });
-            if (place)
-                return place;
-            last = place.error();
-            const bool elsewhere
+            if (slot && avoidedSlot)
+                releaseSlot(services, *avoidedSlot, { 0, grant_outcome::abandoned, milliseconds { 0 }, 0 });
+            if (slot)
+                return slot;
+            last = slot.error();
+            const bool tryNextGroup
                 = last.kind == failure_kind::unavailable || last.kind == failure_kind::overloaded;
-            if (!elsewhere || std::chrono::steady_clock::now() >= context.deadline)
+            if (!tryNextGroup || std::chrono::steady_clock::now() >= context.deadline)
                 break;
         }
     }
-    if (failedBefore)
-        return *failedBefore;
+    if (avoidedSlot)
+        return *avoidedSlot;
     return last;
 }
 
 } // namespace
 
-/// When a dispatcher dies, the asks of an entry come back to it all at once and exceed its own share of the
-/// targets. To refuse the rest would tell callers that there is no room while targets are free; the successor
-/// is only not there yet. So they wait for it, for as long as a takeover lasts.
-result<held_grant> findPlace(
-    entry_services& services, request_context& context, const std::string& service, const slot_request& ask)
+/// When a dispatcher fails, all pending slot requests of an entry return to it at once and exceed its local
+/// share. Refusing the rest would report the targets as full although they have free slots. The requests
+/// therefore wait for the new dispatcher, at most for takeoverTime.
+result<held_grant> acquireSlot(entry_services& services, request_context& context, const std::string& service,
+    const slot_request& slotRequest)
 {
     const auto until = std::min(context.deadline, std::chrono::steady_clock::now() + takeoverTime);
     for (;;) {
-        bool ownShareUsed = false;
-        auto found = searchZones(services, context, service, ask, ownShareUsed);
-        if (found || !ownShareUsed || std::chrono::steady_clock::now() >= until)
+        bool localShareExhausted = false;
+        auto found = searchZones(services, context, service, slotRequest, localShareExhausted);
+        if (found || !localShareExhausted || std::chrono::steady_clock::now() >= until)
             return found;
-        std::this_thread::sleep_for(ownSharePause);
+        std::this_thread::sleep_for(localShareRetryInterval);
     }
 }
 
-void returnPlace(entry_services& services, const held_grant& grant, const grant_release& figures)
+void releaseSlot(entry_services& services, const held_grant& grant, const grant_release& figures)
 {
     if (grant.dispatcher.empty())
         services.chooser.release(grant, figures);
@@ -139,7 +144,7 @@
         services.grants.release(grant, figures);
 }
 
-void recordEnd(entry_services& services, const request_context& context, std::string_view service,
+void recordRequestEnd(entry_services& services, const request_context& context, std::string_view service,
     std::string_view target, const failure* error)
 {
     const auto took
--- a/libs/entry/src/request_context.h
+++ b/libs/entry/src/request_context.h
@@ -7,12 +7,13 @@
 
 namespace yuccachute {
 
-/// Chooses targets when no dispatcher answers: from its own view, live requests only, with a share of the
-/// targets' slots, because other entries may do the same. Thread-safe.
-class self_choice {
+/// Grants slots locally while no dispatcher responds, for live requests only. Uses a fraction of each
+/// target's slots, because other entries may do the same at the same time. Thread-safe.
+class local_slot_chooser {
 public:
-    /// Takes a place at a target of the group, or fails at once.
-    result<held_grant> acquire(const group_description& group, slot_request ask, std::size_t entries);
+    /// Grants a slot at a target of the group, or fails at once. `entries` is the number of entries that
+    /// share the slots.
+    result<held_grant> acquire(const group_description& group, slot_request request, std::size_t entries);
     void release(const held_grant& grant, grant_release figures);
 
 private:
@@ -20,13 +21,13 @@
     std::map<std::string, std::unique_ptr<target_group>, std::less<>> m_groups;
 };
 
-/// What the handlers of one entry share.
+/// Services shared by the request handlers of an entry.
 struct entry_services {
     const process_options& options;
     const settings_cell& settings;
     cluster& peers;
     grant_client& grants;
-    self_choice& chooser;
+    local_slot_chooser& chooser;
     customer_limits& limits;
     request_claims& claims;
     rpc_client& rpc;
@@ -34,12 +35,12 @@
     std::atomic<bool>& stopping;
 };
 
-/// One request as it goes through an entry.
+/// State of one request while an entry serves it.
 struct request_context {
     const http_request& request;
     reply_sink& sink;
-    std::string requestId; ///< The caller's, echoed and logged. Several requests may have the same.
-    std::string token; ///< Unique to this request: names it towards targets and in the store.
+    std::string requestId; ///< From the caller; returned to it and logged. Not unique.
+    std::string token; ///< Unique id of this request for targets and in the store.
     std::string customer;
     std::shared_ptr<const settings_view> settings;
     steady_time started;
@@ -47,26 +48,26 @@
     request_settings effective;
 };
 
-/// Answers with a failure: JSON with code, message, verdict and request id, and Retry-After.
+/// Sends a failure response: JSON with code, message, verdict and request id, and the Retry-After header.
 void sendFailure(request_context& context, const failure& error);
 
-/// Finds a place for a request: at the own zone's groups first, then at other zones'. Falls back to choosing
-/// itself when no dispatcher answers.
-result<held_grant> findPlace(
-    entry_services& services, request_context& context, const std::string& service, const slot_request& ask);
+/// Acquires a slot for a request from the dispatchers of the entry's own zone, then from those of other
+/// zones. Falls back to local_slot_chooser for a group whose dispatchers do not respond.
+result<held_grant> acquireSlot(entry_services& services, request_context& context, const std::string& service,
+    const slot_request& request);
 
-/// Returns a place to whoever gave it.
-void returnPlace(entry_services& services, const held_grant& grant, const grant_release& figures);
+/// Releases a slot at the dispatcher or the local chooser that granted it.
+void releaseSlot(entry_services& services, const held_grant& grant, const grant_release& figures);
 
-/// Reads the timeout from the header X-Timeout-Ms or the settings and sets the deadline.
+/// Sets the deadline by the X-Timeout-Ms header, or by the settings without it.
 result<void> setDeadline(request_context& context);
 
 void handleCompletion(entry_services& services, request_context& context);
 void handlePlain(entry_services& services, request_context& context);
 void handleJobs(entry_services& services, request_context& context);
 
-/// Logs and counts the end of a request.
-void recordEnd(entry_services& services, const request_context& context, std::string_view service,
+/// Logs and counts a completed request. `error` is null if it succeeded.
+void recordRequestEnd(entry_services& services, const request_context& context, std::string_view service,
     std::string_view target, const failure* error);
 
 } // namespace yuccachute
