--- a/libs/event_loop/include/event_loop/event_loop.h
+++ b/libs/event_loop/include/event_loop/event_loop.h
@@ -10,12 +10,12 @@
 class io_context;
 }
 
-/// One thread that waits for sockets and timers, over Boost.Asio. Layer: transport.
+/// Single-threaded event loop for sockets, timers and signals, built on Boost.Asio. Layer: transport.
 namespace yuccachute {
 
-/// Runs handlers one after the other, so that what they share needs no lock. A VM offers less than one core:
-/// more threads would add memory and switches and no speed. Only post() and stop() may be called from other
-/// threads.
+/// Runs all handlers on one thread, one at a time, so that data shared between them needs no lock. A VM
+/// provides less than one core, so more threads would cost memory and context switches without adding
+/// throughput. Only post() and stop() may be called from other threads.
 class event_loop {
 public:
     event_loop();
@@ -25,15 +25,15 @@
 
     /// Runs handlers until stop().
     void run();
-    /// Runs handlers until there is nothing to do or the time is over. Returns whether any ran.
+    /// Runs handlers until none is pending or the time has elapsed. Returns whether any handler ran.
     bool runFor(milliseconds time);
     void stop();
-    /// Runs the function on the loop's thread, later.
-    void post(std::function<void()> work);
-    /// Calls the function on the loop's thread at the first of these signals and each one after it.
+    /// Queues the function to run on the loop's thread. Never runs it inside this call.
+    void post(std::function<void()> callback);
+    /// Calls the function on the loop's thread each time the process receives one of these signals.
     void onSignals(std::initializer_list<int> signals, std::function<void(int)> handler);
 
-    /// For the transports that wait on this loop.
+    /// Gives transports access to the underlying I/O context.
     boost::asio::io_context& context();
 
 private:
@@ -41,8 +41,8 @@
     std::unique_ptr<impl> m_impl;
 };
 
-/// Calls a function once, later, on the loop's thread. Arming it again replaces the earlier call; it is
-/// dropped with the timer.
+/// One-shot timer that calls a function on the loop's thread. Arming it again replaces the pending call;
+/// destroying the timer cancels it.
 class loop_timer {
 public:
     explicit loop_timer(event_loop& loop);
@@ -52,8 +52,8 @@
     loop_timer(const loop_timer&) = delete;
     loop_timer& operator=(const loop_timer&) = delete;
 
-    void arm(std::chrono::nanoseconds delay, std::function<void()> work);
-    void armAt(steady_time when, std::function<void()> work);
+    void arm(std::chrono::nanoseconds delay, std::function<void()> callback);
+    void armAt(steady_time when, std::function<void()> callback);
     void cancel();
     bool armed() const;
 
@@ -62,21 +62,21 @@
     std::shared_ptr<impl> m_impl;
 };
 
-/// Calls a function again and again at an interval, on the loop's thread, until it is destroyed.
+/// Periodic timer that calls a function on the loop's thread at a fixed interval until it is destroyed.
 class loop_ticker {
 public:
-    loop_ticker(event_loop& loop, milliseconds interval, std::function<void()> work);
+    loop_ticker(event_loop& loop, milliseconds interval, std::function<void()> callback);
 
 private:
     void arm();
 
     loop_timer m_timer;
     milliseconds m_interval;
-    std::function<void()> m_work;
+    std::function<void()> m_callback;
 };
 
-/// Milliseconds since 1970, for what is stored. Clocks of VMs differ and may jump: nothing is decided by it
-/// alone.
+/// Milliseconds since the Unix epoch, for timestamps in stored data. The clocks of VMs differ and may jump,
+/// so no decision may depend on this value alone.
 std::int64_t wallClockMs();
 
 } // namespace yuccachute
--- a/libs/event_loop/src/event_loop.cpp
+++ b/libs/event_loop/src/event_loop.cpp
@@ -13,7 +13,8 @@
 namespace asio = boost::asio;
 
 struct event_loop::impl {
-    // One thread runs it, but others post to it: the library keeps its locks.
+    // The concurrency hint 1 states that one thread runs the context. Asio still locks its queues, which
+    // post() from other threads relies on.
     asio::io_context context { 1 };
     std::optional<asio::signal_set> signals;
     std::function<void(int)> signalHandler;
@@ -53,9 +54,9 @@
     m_impl->context.stop();
 }
 
-void event_loop::post(std::function<void()> work)
+void event_loop::post(std::function<void()> callback)
 {
-    asio::post(m_impl->context, std::move(work));
+    asio::post(m_impl->context, std::move(callback));
 }
 
 void event_loop::onSignals(std::initializer_list<int> signals, std::function<void(int)> handler)
@@ -79,7 +80,8 @@
     }
 
     asio::steady_timer timer;
-    std::uint64_t generation = 0; ///< A call that was already due when it was replaced carries an older one.
+    std::uint64_t generation
+        = 0; ///< Incremented by arm and cancel; a queued call of an older generation is ignored.
     bool armed = false;
 };
 
@@ -104,25 +106,25 @@
     return *this;
 }
 
-void loop_timer::arm(std::chrono::nanoseconds delay, std::function<void()> work)
+void loop_timer::arm(std::chrono::nanoseconds delay, std::function<void()> callback)
 {
     armAt(std::chrono::steady_clock::now()
             + std::chrono::duration_cast<std::chrono::steady_clock::duration>(delay),
-        std::move(work));
+        std::move(callback));
 }
 
-void loop_timer::armAt(steady_time when, std::function<void()> work)
+void loop_timer::armAt(steady_time when, std::function<void()> callback)
 {
     const auto generation = ++m_impl->generation;
     m_impl->armed = true;
     m_impl->timer.expires_at(when);
-    m_impl->timer.async_wait([weak = std::weak_ptr<impl>(m_impl), generation, work = std::move(work)](
+    m_impl->timer.async_wait([weak = std::weak_ptr<impl>(m_impl), generation, callback = std::move(callback)](
                                  const boost::system::error_code& error) {
         const auto self = weak.lock();
         if (error || !self || self->generation != generation)
             return;
         self->armed = false;
-        work();
+        callback();
     });
 }
 
@@ -138,10 +140,10 @@
     return m_impl->armed;
 }
 
-loop_ticker::loop_ticker(event_loop& loop, milliseconds interval, std::function<void()> work)
+loop_ticker::loop_ticker(event_loop& loop, milliseconds interval, std::function<void()> callback)
     : m_timer(loop)
     , m_interval(interval)
-    , m_work(std::move(work))
+    , m_callback(std::move(callback))
 {
     arm();
 }
@@ -150,7 +152,7 @@
 {
     m_timer.arm(m_interval, [this] {
         arm();
-        m_work();
+        m_callback();
     });
 }
 
--- a/libs/event_loop/tests/test_event_loop.cpp
+++ b/libs/event_loop/tests/test_event_loop.cpp
@@ -6,7 +6,7 @@
 
 using namespace yuccachute;
 
-TEST_CASE("a timer that is armed again fires once, with the later call")
+TEST_CASE("a timer that is armed again fires once and calls only the later function")
 {
     event_loop loop;
     loop_timer timer(loop);
@@ -19,9 +19,9 @@
     CHECK(!timer.armed());
 }
 
-// Story: an object is destroyed while its timer's call is already queued behind the running handler; the call
-// then works on freed memory.
-TEST_CASE("a cancelled or destroyed timer never fires, also when it was due already")
+// Guards against a use after free: the owner of a timer is destroyed while the timer's callback is already
+// queued behind the running handler.
+TEST_CASE("a cancelled or destroyed timer never fires, even if it has already expired")
 {
     event_loop loop;
     auto timer = std::make_unique<loop_timer>(loop);
@@ -38,7 +38,7 @@
     CHECK(fired == 0);
 }
 
-TEST_CASE("work is posted from other threads, and a ticker repeats until it goes")
+TEST_CASE("post() works from other threads, and a ticker repeats until it is destroyed")
 {
     event_loop loop;
     int ticks = 0;
