--- a/libs/store/src/etcd_store.cpp
+++ b/libs/store/src/etcd_store.cpp
@@ -14,8 +14,8 @@
 using namespace etcdserverpb;
 
 constexpr int keepaliveMs = 2000;
-constexpr int mostReconnectBackoffMs = 500;
-constexpr int mostMessageBytes = 64 << 20;
+constexpr int maxReconnectBackoffMs = 500;
+constexpr int maxMessageBytes = 64 << 20;
 
 failure toFailure(const grpc::Status& status)
 {
@@ -27,7 +27,7 @@
     case grpc::StatusCode::INVALID_ARGUMENT:
         return notRun(failure_kind::bad_request, "store: " + status.error_message());
     default:
-        // The change may have taken effect although its reply was lost.
+        // The change may have been applied even though its response was lost.
         return mayHaveRun(failure_kind::unavailable, "store: " + status.error_message());
     }
 }
@@ -124,8 +124,8 @@
         arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, keepaliveMs);
         arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, keepaliveMs);
         arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
-        arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, mostReconnectBackoffMs);
-        arguments.SetMaxReceiveMessageSize(mostMessageBytes);
+        arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, maxReconnectBackoffMs);
+        arguments.SetMaxReceiveMessageSize(maxMessageBytes);
         m_channel
             = grpc::CreateCustomChannel(std::string(address), grpc::InsecureChannelCredentials(), arguments);
         m_kv = KV::NewStub(m_channel);
@@ -136,14 +136,14 @@
         std::string_view prefix, std::string_view after, std::size_t limit, bool keysOnly) override
     {
         RangeRequest request;
-        // The smallest key after another is that key with a zero byte.
+        // The immediate successor of a key is the key with a zero byte appended.
         request.set_key(after.empty() ? std::string(prefix) : std::string(after) + '\0');
         request.set_range_end(prefixEnd(prefix));
         request.set_limit(static_cast<std::int64_t>(limit));
         request.set_keys_only(keysOnly);
         RangeResponse response;
         grpc::ClientContext context;
-        if (const auto status = m_kv->Range(prepare(context), request, &response); !status.ok())
+        if (const auto status = m_kv->Range(withDeadline(context), request, &response); !status.ok())
             return toFailure(status);
         store_listing listing;
         for (const auto& value : response.kvs())
@@ -159,7 +159,7 @@
         request.set_key(std::string(key));
         RangeResponse response;
         grpc::ClientContext context;
-        if (const auto status = m_kv->Range(prepare(context), request, &response); !status.ok())
+        if (const auto status = m_kv->Range(withDeadline(context), request, &response); !status.ok())
             return toFailure(status);
         if (response.kvs().empty())
             return std::optional<stored_value>();
@@ -170,7 +170,7 @@
     {
         TxnResponse response;
         grpc::ClientContext context;
-        if (const auto status = m_kv->Txn(prepare(context), toTxn(transaction), &response); !status.ok())
+        if (const auto status = m_kv->Txn(withDeadline(context), toTxn(transaction), &response); !status.ok())
             return toFailure(status);
         commit_outcome outcome;
         outcome.applied = response.succeeded();
@@ -190,7 +190,7 @@
         request.set_ttl(ttl.count());
         LeaseGrantResponse response;
         grpc::ClientContext context;
-        if (const auto status = m_lease->LeaseGrant(prepare(context), request, &response); !status.ok())
+        if (const auto status = m_lease->LeaseGrant(withDeadline(context), request, &response); !status.ok())
             return toFailure(status);
         return response.id();
     }
@@ -198,20 +198,21 @@
     result<void> renewLease(std::int64_t lease) override
     {
         grpc::ClientContext context;
-        auto stream = m_lease->LeaseKeepAlive(prepare(context));
+        auto stream = m_lease->LeaseKeepAlive(withDeadline(context));
         LeaseKeepAliveRequest request;
         request.set_id(lease);
         LeaseKeepAliveResponse response;
         const bool answered = stream->Write(request) && stream->WritesDone() && stream->Read(&response);
         if (!answered) {
             const auto status = stream->Finish();
-            return status.ok() ? mayHaveRun(failure_kind::unavailable, "store: no answer to a lease renewal")
-                               : toFailure(status);
+            return status.ok()
+                ? mayHaveRun(failure_kind::unavailable, "store: no response to a lease renewal")
+                : toFailure(status);
         }
         context.TryCancel();
         stream->Finish();
         if (response.ttl() <= 0)
-            return notRun(failure_kind::not_found, "store: the lease has lapsed");
+            return notRun(failure_kind::not_found, "store: the lease has expired");
         return BOOST_OUTCOME_V2_NAMESPACE::success();
     }
 
@@ -221,7 +222,7 @@
         request.set_id(lease);
         LeaseRevokeResponse response;
         grpc::ClientContext context;
-        if (const auto status = m_lease->LeaseRevoke(prepare(context), request, &response); !status.ok())
+        if (const auto status = m_lease->LeaseRevoke(withDeadline(context), request, &response); !status.ok())
             return toFailure(status);
         return BOOST_OUTCOME_V2_NAMESPACE::success();
     }
@@ -240,7 +241,7 @@
     }
 
 private:
-    grpc::ClientContext* prepare(grpc::ClientContext& context) const
+    grpc::ClientContext* withDeadline(grpc::ClientContext& context) const
     {
         context.set_deadline(std::chrono::system_clock::now() + m_timeout);
         return &context;
--- a/libs/store/src/memory_store.cpp
+++ b/libs/store/src/memory_store.cpp
@@ -25,7 +25,7 @@
     std::int64_t revision = 1;
     std::int64_t nextLease = 1000;
 
-    bool holds(const store_condition& condition) const
+    bool isMet(const store_condition& condition) const
     {
         const auto found = values.find(condition.key);
         const bool exists = found != values.end();
@@ -76,15 +76,15 @@
     void notify(std::span<const store_event> events)
     {
         for (const auto& watcher : watchers) {
-            std::vector<store_event> mine;
-            std::copy_if(events.begin(), events.end(), std::back_inserter(mine),
+            std::vector<store_event> matching;
+            std::copy_if(events.begin(), events.end(), std::back_inserter(matching),
                 [&](const auto& event) { return event.value.key.starts_with(watcher.prefix); });
-            if (!mine.empty())
-                watcher.changed(mine, revision);
+            if (!matching.empty())
+                watcher.changed(matching, revision);
         }
     }
 
-    void dropLease(std::int64_t id)
+    void removeLease(std::int64_t id)
     {
         leases.erase(id);
         std::vector<store_removal> removals;
@@ -166,7 +166,7 @@
     }
     commit_outcome outcome;
     outcome.applied = std::all_of(transaction.conditions.begin(), transaction.conditions.end(),
-        [&](const auto& condition) { return m_impl->holds(condition); });
+        [&](const auto& condition) { return m_impl->isMet(condition); });
     if (outcome.applied && !(transaction.writes.empty() && transaction.removals.empty()))
         m_impl->apply(transaction.writes, transaction.removals);
     if (!outcome.applied) {
@@ -211,7 +211,7 @@
 result<void> memory_store::revokeLease(std::int64_t lease)
 {
     const std::scoped_lock lock(m_impl->mutex);
-    m_impl->dropLease(lease);
+    m_impl->removeLease(lease);
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
@@ -240,7 +240,7 @@
             expired.push_back(id);
     }
     for (auto id : expired)
-        m_impl->dropLease(id);
+        m_impl->removeLease(id);
 }
 
 } // namespace yuccachute
--- a/libs/store/src/observed_store.cpp
+++ b/libs/store/src/observed_store.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A failure that says something about the way to the store, not about what was asked.
-bool tellsOutage(const failure& error)
+/// Whether a failure is caused by the store or the connection to it rather than by the request.
+bool indicatesOutage(const failure& error)
 {
     switch (error.kind) {
     case failure_kind::unavailable:
@@ -22,10 +22,10 @@
 
 } // namespace
 
-void observed_store::note(bool answered, steady_time sent, steady_time now)
+void observed_store::recordOutcome(bool answered, steady_time sent, steady_time now)
 {
-    // A call that waits on a dead connection fails seconds after the store has answered others. Taken for an
-    // outage, it made processes keep targets that left in the next two seconds.
+    // A call on a broken connection fails seconds later, after the store has already answered other calls.
+    // Treated as an outage, it made processes keep targets that were removed during the next two seconds.
     if (!answered && sent < m_lastAnswered)
         return;
     if (answered)
@@ -33,16 +33,16 @@
     if (answered && !m_reachable)
         m_reachableSince = now;
     m_reachable = answered;
-    m_failuresInRow = answered ? 0 : m_failuresInRow + 1;
+    m_consecutiveFailures = answered ? 0 : m_consecutiveFailures + 1;
 }
 
 template <typename T>
 observed_store::callback<T> observed_store::observed(std::string_view call, callback<T> done)
 {
-    m_figures.count("yuccachute_store_calls_total", "call", call);
+    m_metrics.count("yuccachute_store_calls_total", "call", call);
     const auto sent = std::chrono::steady_clock::now();
     return [this, sent, done = std::move(done)](result<T> outcome) {
-        note(outcome || !tellsOutage(outcome.error()), sent, std::chrono::steady_clock::now());
+        recordOutcome(outcome || !indicatesOutage(outcome.error()), sent, std::chrono::steady_clock::now());
         done(std::move(outcome));
     };
 }
--- a/libs/store/src/prefix.cpp
+++ b/libs/store/src/prefix.cpp
@@ -13,7 +13,7 @@
         }
         end.pop_back();
     }
-    return std::string(1, '\0'); // No end: every key.
+    return std::string(1, '\0'); // The protocol's notation for a range without an upper bound.
 }
 
 } // namespace yuccachute
--- a/libs/store/tests/test_store.cpp
+++ b/libs/store/tests/test_store.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a transaction compares and writes in one step")
+TEST_CASE("a transaction compares and writes atomically")
 {
     memory_store store;
     const auto first = store.commit(createIfAbsent("/a", "1"));
@@ -32,7 +32,7 @@
     CHECK(!store.get("/b").value());
 }
 
-TEST_CASE("listing goes on after a key")
+TEST_CASE("a listing continues after a given key")
 {
     memory_store store;
     for (const char* key : { "/x/1", "/x/2", "/x/3", "/y/1" })
@@ -46,7 +46,7 @@
     CHECK(prefixEnd("/x/") == "/x0");
 }
 
-TEST_CASE("keys go with their lease, and watches see every change in order")
+TEST_CASE("keys are deleted when their lease expires, and watches see every change in order")
 {
     memory_store store;
     std::vector<std::string> seen;
@@ -70,49 +70,49 @@
 
 namespace {
 
-/// A store that keeps renewals and waiting calls until the test answers them.
-class held_store final : public async_store {
+/// A store that completes lease renewals and waitForChange() only when the test invokes their callbacks.
+class deferred_store final : public async_store {
 public:
     void get(std::string_view, callback<std::optional<stored_value>>) override { }
     void list(std::string_view, callback<store_listing>) override { }
     void commit(const store_transaction&, callback<commit_outcome>) override { }
     void waitForChange(std::string_view, std::int64_t, milliseconds, callback<store_changes> done) override
     {
-        wait = std::move(done);
+        pendingWait = std::move(done);
     }
     void grantLease(milliseconds, callback<std::int64_t>) override { }
-    void renewLease(std::int64_t, callback<bool> done) override { renewal = std::move(done); }
+    void renewLease(std::int64_t, callback<bool> done) override { pendingRenewal = std::move(done); }
     void endLease(std::int64_t, callback<bool>) override { }
 
-    callback<store_changes> wait;
-    callback<bool> renewal;
+    callback<store_changes> pendingWait;
+    callback<bool> pendingRenewal;
 };
 
 } // namespace
 
-// Story: the connection of a waiting call dies without a sign, and the call fails five seconds later, when
-// the store has answered others all the while. It was taken for an outage, and targets that left in the two
-// seconds after it were kept, as their entries might only have lapsed.
-TEST_CASE("a call that fails after later ones were answered tells of no outage")
+// Guards against a false outage. The connection of a waitForChange() call breaks unnoticed, and the call
+// fails five seconds later while the store has been answering other calls. This used to count as an outage,
+// so targets removed during the next two seconds were kept, as if only their leases had expired.
+TEST_CASE("a call that fails after later calls were answered does not indicate an outage")
 {
-    held_store held;
-    metrics figures;
-    observed_store store(held, figures);
+    deferred_store deferred;
+    metrics registry;
+    observed_store store(deferred, registry);
     store.waitForChange("targets/", 1, milliseconds { 30000 }, [](const auto&) {});
     store.renewLease(1, [](const auto&) {});
-    held.renewal(true);
+    deferred.pendingRenewal(true);
     const auto before = store.reachableSince();
-    held.wait(mayHaveRun(failure_kind::timeout, "connection timed out"));
+    deferred.pendingWait(mayHaveRun(failure_kind::timeout, "connection timed out"));
     CHECK(store.reachable());
     store.renewLease(1, [](const auto&) {});
-    held.renewal(true);
+    deferred.pendingRenewal(true);
     CHECK(store.reachableSince() == before);
-    // One that was sent after the last answer does.
+    // A failed call that was sent after the last answered one does indicate an outage.
     store.renewLease(1, [](const auto&) {});
-    held.renewal(mayHaveRun(failure_kind::timeout, "no answer in time"));
+    deferred.pendingRenewal(mayHaveRun(failure_kind::timeout, "no answer in time"));
     CHECK(!store.reachable());
     store.renewLease(1, [](const auto&) {});
-    held.renewal(true);
+    deferred.pendingRenewal(true);
     CHECK(store.reachable());
     CHECK(store.reachableSince() > before);
 }
