--- a/libs/settings_store/include/settings_store/settings_store.h
+++ b/libs/settings_store/include/settings_store/settings_store.h
@@ -8,12 +8,13 @@
 #include <string_view>
 #include <vector>
 
-/// The settings tree in the key-value service: one key a node, one key for the head, one key an edit of the
-/// history. Layer: transport.
+/// Stores the settings tree in the key-value service: one key per node, one head key, and one history key per
+/// edit. Layer: transport.
 ///
-/// Every accepted edit rewrites the head in the same transaction and is conditional on the head it was
-/// checked against. So the whole tree was checked as it then stands, two edits that are each valid alone
-/// cannot break a reference together, and the head's revision is the version of the tree.
+/// The transaction of an edit also rewrites the head, on the condition that the head is unchanged since the
+/// tree was read and validated. Edits are therefore serialized: the resulting tree has always been validated
+/// as a whole, so two edits that are each valid alone cannot together create a dangling reference. The
+/// modification revision of the head is the version of the tree.
 namespace yuccachute {
 
 constexpr std::string_view settingsPrefix = "/yuccachute/settings/";
@@ -21,26 +22,26 @@
 /// Reads the whole tree and its version.
 result<settings_tree> readSettings(config_store& store);
 
-/// Who edits, and what for.
 struct edit_author {
     std::string name;
-    std::string note;
+    std::string note; ///< Reason for the edit.
 };
 
-/// Outcome of an accepted edit.
 struct accepted_edit {
-    std::int64_t version = 0;
+    std::int64_t version = 0; ///< Version of the tree that contains the edit.
     settings_tree tree;
 };
 
-/// Checks the edits against the newest tree and writes them in one transaction. An edit that names a base and
-/// lost a race fails with conflict and shows both sides; edits of other nodes in between are no conflict. A
-/// lost reply is settled by reading: the answer is never "unknown" unless the store stays unreachable, and
-/// then the failure's verdict is may_have_run.
+/// Validates the edits against the latest tree and commits them in one transaction. An edit with a base
+/// revision fails with `conflict` if its node has changed since; the message shows the current node and the
+/// edit. Concurrent changes of other nodes are not a conflict. If the response of the commit is lost, the
+/// history is read to find out whether it was applied. Only if the store remains unreachable does this stay
+/// unknown; the failure then has the verdict may_have_run.
 result<accepted_edit> commitEdits(config_store& store, std::span<const settings_edit> edits,
     const edit_author& author, std::string_view editId, std::int64_t nowMs);
 
-/// One entry of the history, as JSON: version, id, author, note, time, and each node before and after.
-result<std::vector<std::string>> readHistory(config_store& store, std::size_t most);
+/// Returns up to `maxEntries` entries of the edit history, newest first. Each is a JSON object with the
+/// version, the edit's ID, author, note and time, and each node before and after the edit.
+result<std::vector<std::string>> readHistory(config_store& store, std::size_t maxEntries);
 
 } // namespace yuccachute
--- a/libs/settings_store/src/settings_store.cpp
+++ b/libs/settings_store/src/settings_store.cpp
@@ -15,15 +15,15 @@
 constexpr std::string_view headKey = "/yuccachute/settings/head";
 constexpr std::string_view nodePrefix = "/yuccachute/settings/node/";
 constexpr std::string_view historyPrefix = "/yuccachute/settings-history/";
-constexpr int mostRaces = 50;
-constexpr int mostSettlingReads = 5;
+constexpr int maxCommitAttempts = 50;
+constexpr int maxVerificationReads = 5;
 
 std::string nodeKey(std::string_view path)
 {
     return std::string(nodePrefix) + std::string(path);
 }
 
-/// Sorts by time, newest last.
+/// Zero-padded time first, so that the keys sort from oldest to newest.
 std::string historyKey(std::int64_t nowMs, std::string_view editId)
 {
     char time[24];
@@ -43,13 +43,13 @@
     return node;
 }
 
-json nodeJson(const settings_tree& tree, std::string_view path)
+json nodeToJson(const settings_tree& tree, std::string_view path)
 {
     const auto found = tree.nodes.find(path);
     return found == tree.nodes.end() ? json(nullptr) : json(found->second.values);
 }
 
-std::string describeEdits(const settings_tree& before, const settings_tree& after,
+std::string formatHistoryEntry(const settings_tree& before, const settings_tree& after,
     std::span<const settings_edit> edits, const edit_author& author, std::string_view editId,
     std::int64_t nowMs)
 {
@@ -59,14 +59,14 @@
     for (const auto& edit : edits)
         paths.insert(edit.path);
     for (const auto& path : paths)
-        entry["nodes"].push_back(
-            { { "path", path }, { "before", nodeJson(before, path) }, { "after", nodeJson(after, path) } });
+        entry["nodes"].push_back({ { "path", path }, { "before", nodeToJson(before, path) },
+            { "after", nodeToJson(after, path) } });
     return entry.dump();
 }
 
 store_transaction buildTransaction(const settings_tree& before, const settings_tree& after,
-    std::span<const settings_edit> edits, const std::string& head, const std::string& historyAt,
-    const std::string& description)
+    std::span<const settings_edit> edits, const std::string& head, const std::string& historyEntryKey,
+    const std::string& historyEntry)
 {
     store_transaction transaction;
     transaction.conditions.push_back(
@@ -76,12 +76,12 @@
         paths.insert(edit.path);
     for (const auto& path : paths) {
         if (after.nodes.contains(path))
-            transaction.writes.push_back({ nodeKey(path), nodeJson(after, path).dump(), 0 });
+            transaction.writes.push_back({ nodeKey(path), nodeToJson(after, path).dump(), 0 });
         else
             transaction.removals.push_back({ nodeKey(path), false });
     }
     transaction.writes.push_back({ std::string(headKey), head, 0 });
-    transaction.writes.push_back({ historyAt, description, 0 });
+    transaction.writes.push_back({ historyEntryKey, historyEntry, 0 });
     return transaction;
 }
 
@@ -102,18 +102,19 @@
 
 namespace {
 
-/// An edit whose reply was lost: whether its history entry is there tells whether it took effect.
-result<bool> tookEffect(config_store& store, const std::string& historyAt)
+/// Determines whether an edit whose commit response was lost has been applied: its history entry is written
+/// in the same transaction.
+result<bool> wasApplied(config_store& store, const std::string& historyEntryKey)
 {
-    failure last = mayHaveRun(failure_kind::unavailable, "the store does not answer");
-    for (int attempt = 0; attempt < mostSettlingReads; ++attempt) {
-        const auto found = store.get(historyAt);
+    failure last = mayHaveRun(failure_kind::unavailable, "the store is not responding");
+    for (int attempt = 0; attempt < maxVerificationReads; ++attempt) {
+        const auto found = store.get(historyEntryKey);
         if (found)
             return found.value().has_value();
         last = found.error();
     }
     last.ran = verdict::may_have_run;
-    last.message += "; whether the edit was accepted is not known";
+    last.message += "; it is unknown whether the edit was applied";
     return last;
 }
 
@@ -122,32 +123,32 @@
 result<accepted_edit> commitEdits(config_store& store, std::span<const settings_edit> edits,
     const edit_author& author, std::string_view editId, std::int64_t nowMs)
 {
-    const auto historyAt = historyKey(nowMs, editId);
+    const auto historyEntryKey = historyKey(nowMs, editId);
     const auto head = json { { "edit", editId }, { "author", author.name } }.dump();
-    for (int race = 0; race < mostRaces; ++race) {
+    for (int attempt = 0; attempt < maxCommitAttempts; ++attempt) {
         auto before = readSettings(store);
         if (!before) {
-            // Nothing has been written in this round.
+            // Nothing has been written: earlier attempts were not applied.
             auto error = before.error();
             error.ran = verdict::not_run;
             return error;
         }
         BOOST_OUTCOME_TRY(auto after, applyEdits(before.value(), edits));
-        const auto description = describeEdits(before.value(), after, edits, author, editId, nowMs);
-        const auto committed
-            = store.commit(buildTransaction(before.value(), after, edits, head, historyAt, description));
+        const auto historyEntry = formatHistoryEntry(before.value(), after, edits, author, editId, nowMs);
+        const auto committed = store.commit(
+            buildTransaction(before.value(), after, edits, head, historyEntryKey, historyEntry));
         if (!committed && committed.error().ran == verdict::not_run)
             return committed.error();
         if (!committed) {
-            BOOST_OUTCOME_TRY(auto accepted, tookEffect(store, historyAt));
+            BOOST_OUTCOME_TRY(auto accepted, wasApplied(store, historyEntryKey));
             if (!accepted)
                 continue;
-            BOOST_OUTCOME_TRY(auto now, readSettings(store));
-            const auto version = now.version;
-            return accepted_edit { version, std::move(now) };
+            BOOST_OUTCOME_TRY(auto current, readSettings(store));
+            const auto version = current.version;
+            return accepted_edit { version, std::move(current) };
         }
         if (!committed.value().applied)
-            continue; // Another edit came first: check again against the tree as it is now.
+            continue; // A concurrent edit was committed first: validate again against the current tree.
         after.version = committed.value().revision;
         for (const auto& edit : edits) {
             if (const auto node = after.nodes.find(edit.path); node != after.nodes.end())
@@ -155,15 +156,15 @@
         }
         return accepted_edit { after.version, std::move(after) };
     }
-    return notRun(
-        failure_kind::conflict, "too many other edits at the same time; try again", milliseconds { 1000 });
+    return notRun(failure_kind::conflict, "too many concurrent edits; this edit was not applied, retry it",
+        milliseconds { 1000 });
 }
 
-result<std::vector<std::string>> readHistory(config_store& store, std::size_t most)
+result<std::vector<std::string>> readHistory(config_store& store, std::size_t maxEntries)
 {
     BOOST_OUTCOME_TRY(auto listing, store.list(historyPrefix));
     std::vector<std::string> entries;
-    for (auto entry = listing.values.rbegin(); entry != listing.values.rend() && entries.size() < most;
+    for (auto entry = listing.values.rbegin(); entry != listing.values.rend() && entries.size() < maxEntries;
          ++entry) {
         auto document = json::parse(entry->value, nullptr, false);
         if (!document.is_object())
--- a/libs/settings_store/tests/test_settings_store.cpp
+++ b/libs/settings_store/tests/test_settings_store.cpp
@@ -38,15 +38,16 @@
     CHECK(history[0].find("customer/a") != std::string::npos);
 }
 
-// Story: the store applies an edit and its reply is lost. The operator is told that the edit failed, makes it
-// again differently, and later finds both; or the edit is applied twice and undoes one made in between.
-TEST_CASE("an edit whose reply is lost is accepted once")
+// The store applies an edit, but its response is lost. Guards against reporting a failure, which makes the
+// operator submit a different edit in addition, and against applying the edit a second time, which would undo
+// another edit made in between.
+TEST_CASE("an edit whose commit response is lost is applied once")
 {
     memory_store store;
     commitOne(store, setKey("fleet", "weight", "2"), "e1").value();
-    bool lose = true;
+    bool loseReply = true;
     store.fault = [&](std::string_view call) -> std::optional<failure> {
-        if (call == "commit" && std::exchange(lose, false))
+        if (call == "commit" && std::exchange(loseReply, false))
             return mayHaveRun(failure_kind::unavailable, "lost");
         return std::nullopt;
     };
@@ -56,48 +57,48 @@
     CHECK(readHistory(store, 10).value().size() == 2);
 }
 
-// Story: an operator's edit names the revision it was made against; its reply is lost, it is tried again, and
-// the operator is shown a conflict with his own change.
-TEST_CASE("an edit whose reply is lost does not conflict with itself")
+// An edit with a base revision is applied, but the response is lost. Guards against a retry that reports a
+// conflict with the edit itself.
+TEST_CASE("an edit whose commit response is lost does not conflict with itself")
 {
     memory_store store;
     const auto first = commitOne(store, setKey("fleet", "weight", "2"), "e1").value();
-    bool lose = true;
+    bool loseReply = true;
     store.fault = [&](std::string_view call) -> std::optional<failure> {
-        if (call == "commit" && std::exchange(lose, false))
+        if (call == "commit" && std::exchange(loseReply, false))
             return mayHaveRun(failure_kind::unavailable, "lost");
         return std::nullopt;
     };
     CHECK(commitOne(store, setKey("fleet", "weight", "5", first.version), "e2"));
 }
 
-TEST_CASE("an edit that never reached the store says so, and one that may have says so too")
+TEST_CASE("the verdict of a failed edit tells whether it may have been applied")
 {
     memory_store store;
     store.fault
         = [](std::string_view) { return std::optional(mayHaveRun(failure_kind::unavailable, "down")); };
     CHECK(commitOne(store, setKey("fleet", "weight", "2"), "e1").error().ran == verdict::not_run);
-    bool written = false;
+    bool commitSent = false;
     store.fault = [&](std::string_view call) -> std::optional<failure> {
-        written = written || call == "commit";
-        return written ? std::optional(mayHaveRun(failure_kind::unavailable, "down")) : std::nullopt;
+        commitSent = commitSent || call == "commit";
+        return commitSent ? std::optional(mayHaveRun(failure_kind::unavailable, "down")) : std::nullopt;
     };
     CHECK(commitOne(store, setKey("fleet", "weight", "2"), "e2").error().ran == verdict::may_have_run);
 }
 
-// Story: many operators edit at the same time, some the same node, some nodes that refer to each other. An
-// accepted edit is lost, or two edits that are each valid alone leave a reference to nothing.
-TEST_CASE("racing edits are each accepted or refused, and none is lost")
+// Guards against lost updates when several operators edit the tree concurrently. The next test covers two
+// edits that are each valid alone but together leave a dangling reference.
+TEST_CASE("concurrent edits are all applied, and none is lost")
 {
     memory_store store;
     commitOne(store, setKey("service/s", "kind", "model"), "start").value();
     constexpr int operators = 8;
-    constexpr int editsEach = 15;
+    constexpr int editsPerOperator = 15;
     std::atomic<int> accepted { 0 };
     std::vector<std::thread> threads;
     for (int o = 0; o < operators; ++o) {
         threads.emplace_back([&, o] {
-            for (int i = 0; i < editsEach; ++i) {
+            for (int i = 0; i < editsPerOperator; ++i) {
                 const auto id = std::to_string(o) + "-" + std::to_string(i);
                 accepted += commitOne(
                     store, setKey("customer/c" + std::to_string(o), "queue_limit", std::to_string(i)), id)
@@ -107,12 +108,12 @@
     }
     for (auto& thread : threads)
         thread.join();
-    CHECK(accepted == operators * editsEach);
+    CHECK(accepted == operators * editsPerOperator);
     const auto tree = readSettings(store).value();
     for (int o = 0; o < operators; ++o)
         CHECK(tree.nodes.at("customer/c" + std::to_string(o)).values.at("queue_limit")
-            == std::to_string(editsEach - 1));
-    CHECK(readHistory(store, 1000).value().size() == operators * editsEach + 1);
+            == std::to_string(editsPerOperator - 1));
+    CHECK(readHistory(store, 1000).value().size() == operators * editsPerOperator + 1);
 }
 
 TEST_CASE("removing a service and adding a target to it cannot both be accepted")
