--- a/libs/front/src/front_process.cpp
+++ b/libs/front/src/front_process.cpp
@@ -226,8 +226,8 @@
             considerRegistration();
     }
 
-    /// Passes the owners of the limits' shares on. Until this entry has registered it owns no share, whatever
-    /// records an earlier start left.
+    /// Updates the members that may own shares of the limits. Until this entry has registered it owns no
+    /// share, whatever records an earlier start left.
     void setLimitMembers()
     {
         std::map<std::string, limit_member> members;
--- a/libs/front/src/job_forwarder.h
+++ b/libs/front/src/job_forwarder.h
@@ -12,7 +12,7 @@
 
 /// Ranks the batch processes for a job: those of `zone` come before all others. Callers submit a job and read
 /// its results through entries of their own zone, so the job is kept in that zone; with jobs spread over all
-/// (five) zones, four fifths of all request bodies and results crossed zones.
+/// five zones, four fifths of all request bodies and results crossed zones.
 std::vector<std::string> rankHolders(
     const std::string& jobId, std::string_view zone, std::span<const node_record> batchNodes);
 
--- a/libs/front/tests/test_live_run.cpp
+++ b/libs/front/tests/test_live_run.cpp
@@ -207,9 +207,9 @@
     return "id: " + std::to_string(id) + "\ndata: x" + std::to_string(id) + "\n\n";
 }
 
-failure abortedAnswer()
+failure connectionReset()
 {
-    return mayHaveRun(failure_kind::incomplete, "cut");
+    return mayHaveRun(failure_kind::incomplete, "connection reset");
 }
 
 } // namespace
@@ -239,7 +239,7 @@
     f.slots.grant("t1");
     f.targets.head(200, { { "Seal", "s1" } });
     f.targets.body(event(1) + event(2) + "id: 3\nda");
-    f.targets.fail(abortedAnswer());
+    f.targets.fail(connectionReset());
     REQUIRE(f.slots.acquisitions == 2);
     CHECK(f.slots.last.avoid == "t1");
     f.slots.grant("t2");
@@ -260,10 +260,10 @@
     f.slots.grant("t1");
     f.targets.head(200);
     f.targets.body("id: 1\ndata: a\n\nid: 2\nda");
-    f.targets.fail(mayHaveRun(failure_kind::incomplete, "broke off"));
+    f.targets.fail(mayHaveRun(failure_kind::incomplete, "connection reset"));
     f.slots.grant("t2");
     f.targets.head(500, { { "Content-Length", "7" } });
-    f.targets.body("no luck");
+    f.targets.body("failure");
     f.targets.whole();
     f.run();
     CHECK(f.caller->body == "id: 1\ndata: a\n\n");
@@ -292,7 +292,7 @@
         fixture f(kind, false);
         f.slots.grant("t1");
         CHECK(f.targets.fresh);
-        f.targets.fail(abortedAnswer());
+        f.targets.fail(connectionReset());
         CHECK(f.slots.acquisitions == 1);
         REQUIRE(f.caller->reply);
         CHECK(f.caller->reply->status == 502);
@@ -305,7 +305,7 @@
     f.slots.grant("t1");
     f.targets.head(200);
     f.targets.body(event(1));
-    f.targets.fail(abortedAnswer());
+    f.targets.fail(connectionReset());
     CHECK(f.caller->aborted);
     CHECK(!f.caller->finished);
 }
@@ -332,7 +332,7 @@
 {
     fixture f(request_kind::safe);
     f.slots.grant("t1");
-    f.targets.fail(abortedAnswer());
+    f.targets.fail(connectionReset());
     f.slots.answer(notRun(failure_kind::overloaded, "full", milliseconds { 100 }));
     REQUIRE(f.caller->reply);
     CHECK(f.caller->reply->status == 502);
@@ -370,7 +370,7 @@
     f.slots.grant("t1");
     f.targets.head(200, { { "Foreign", "1" } });
     CHECK(!f.targets.accepted);
-    f.targets.fail(abortedAnswer());
+    f.targets.fail(connectionReset());
     f.slots.grant("t2");
     f.targets.head(200);
     f.targets.body("own");
@@ -469,16 +469,16 @@
     guard_fixture all;
     fixture first(request_kind::streaming, true, 1000, &all.guard);
     first.slots.grant("t1");
-    first.targets.fail(abortedAnswer());
+    first.targets.fail(connectionReset());
     REQUIRE(first.slots.acquisitions == 2); // A single termination may be a coincidence.
     first.slots.grant("t2");
-    first.targets.fail(abortedAnswer());
+    first.targets.fail(connectionReset());
     REQUIRE(first.caller->reply);
     CHECK(first.caller->reply->status == 502);
 
     fixture second(request_kind::streaming, true, 1000, &all.guard);
     second.slots.grant("t3");
-    second.targets.fail(abortedAnswer());
+    second.targets.fail(connectionReset());
     CHECK(second.slots.acquisitions == 1);
     REQUIRE(second.caller->reply);
     CHECK(second.caller->reply->status == 502);
@@ -497,10 +497,10 @@
     for (int i = 0; i < 4; ++i) {
         fixture f(request_kind::streaming, true, 1000, &all.guard);
         f.slots.grant("t1");
-        f.targets.fail(abortedAnswer());
+        f.targets.fail(connectionReset());
         REQUIRE(f.slots.acquisitions == 2);
         f.slots.grant("t2");
-        f.targets.fail(abortedAnswer());
+        f.targets.fail(connectionReset());
     }
     CHECK_FALSE(all.guard.hasSuspects());
 }
@@ -510,7 +510,7 @@
     guard_fixture all;
     fixture first(request_kind::streaming, true, 1000, &all.guard);
     first.slots.grant("t1");
-    first.targets.fail(abortedAnswer());
+    first.targets.fail(connectionReset());
     CHECK(all.guard.hasSuspects());
     first.slots.grant("t2");
     first.targets.head(200, { { "Transfer-Encoding", "chunked" } });
@@ -528,7 +528,7 @@
     guard_fixture all;
     fixture first(request_kind::streaming, true, 1000, &all.guard);
     first.slots.grant("t1");
-    first.targets.fail(abortedAnswer());
+    first.targets.fail(connectionReset());
     first.slots.grant("t2");
     first.targets.head(200);
     first.targets.body(event(1));
