--- a/libs/messages/include/messages/messages.h
+++ b/libs/messages/include/messages/messages.h
@@ -15,40 +15,44 @@
 #include <string_view>
 #include <vector>
 
-/// Typed messages and their codecs: the callers' JSON, the streams' events, and what the project's processes
-/// say to each other. Layer: protocol. No I/O.
+/// Types of the messages between processes, and of the JSON bodies and event streams exchanged with callers,
+/// with the codecs for JSON and streams. Layer: protocol. No I/O.
 namespace yuccachute {
 
-// --- Between processes
-// ---------------------------------------------------------------------------------------
+// --- Messages between processes ---
 
+/// A request for a slot, sent to the group's dispatcher.
 struct ask_message {
     std::string group;
     slot_request ask;
 };
 
-/// The group's dispatcher is another process.
+/// Redirects a slot request to the process that runs the group's dispatcher. An empty address acknowledges
+/// that the request is waiting in the queue of this dispatcher.
 struct moved_message {
     std::uint64_t slotRequestId = 0;
     std::string ownerAddress;
 };
 
+/// Asks the holder of a bulk grant to stop its item at once. The holder still has to release the grant.
 struct revoke_message {
     std::string group;
     std::uint64_t grantId = 0;
 };
 
+/// Returns a granted slot, with the outcome of its use.
 struct release_message {
     std::string group;
     grant_release release;
 };
 
+/// Cancels a slot request.
 struct withdraw_message {
     std::string group;
     std::uint64_t slotRequestId = 0;
 };
 
-/// Everything that is ready for one peer. Times travel as durations from now, because clocks differ.
+/// A batch of messages for one peer. Points in time are sent as durations from now, because clocks differ.
 struct envelope {
     std::vector<ask_message> asks;
     std::vector<slot_grant> grants;
@@ -60,128 +64,133 @@
     std::vector<limit_message> limits;
 
     bool empty() const;
-    /// Appends the other's messages.
+    /// Appends the messages of `other`.
     void add(envelope other);
 };
 
-/// A key of the platform's store as a process has copied it. Copies of it share its text.
+/// Local copy of a key and its value in the platform's store. Copies of an entry share the text.
 class section_entry {
 public:
     section_entry(std::string_view key, std::string_view value, std::int64_t revision);
 
     std::string_view key() const { return std::string_view(*m_text).substr(0, m_keySize); }
     std::string_view value() const { return std::string_view(*m_text).substr(m_keySize); }
-    std::int64_t revision() const { return m_revision; } ///< Of its last change.
+    std::int64_t revision() const { return m_revision; } ///< Revision of the key's last change.
 
     bool operator==(const section_entry& other) const;
 
 private:
-    std::shared_ptr<const std::string> m_text; ///< The key and behind it the value.
+    std::shared_ptr<const std::string> m_text; ///< The key, followed by the value.
     std::size_t m_keySize = 0;
     std::int64_t m_revision = 0;
 };
 
-/// What has become of an entry.
+/// A change of an entry in the local copy of a section.
 struct section_change {
     enum class kind : std::uint8_t {
         written,
         removed,
-        released ///< It lies outside of the slice that is held from now on, and may exist or not.
+        released ///< No longer part of the slice that this process mirrors; may still exist in the store.
     };
-    section_entry entry; ///< If it was not written: what it was.
+    section_entry entry; ///< The new entry if `written`, otherwise the last known one.
     kind what = kind::written;
 };
 
-/// One of several parts of a section, of about the same size, to which keys belong by their hashes. By
-/// default all of it.
+/// One of several parts of about the same size into which a section is divided by the hashes of its keys. The
+/// default is the whole section.
 struct section_slice {
-    std::uint32_t parts = 1; ///< A power of two.
-    std::uint32_t part = 0;
+    std::uint32_t parts = 1; ///< Number of parts; a power of two.
+    std::uint32_t part = 0; ///< Index of this part.
 
     bool whole() const { return parts <= 1; }
     bool contains(std::string_view key) const;
     bool operator==(const section_slice&) const = default;
 };
 
-/// The slice for a process that needs some entries of a section and not all: a few hundred, however many
-/// there are. Processes draw different ones by their seeds. One that is held already is kept unless it has
-/// become too large or too small.
+/// Chooses the slice for a process that needs only some entries of a section: a few hundred, independent of
+/// the size of the section. Different seeds usually give different slices. The slice already held is
+/// kept unless it has become too large or too small.
 section_slice sliceFor(std::size_t entries, const section_slice& held, std::uint32_t seed);
 
-/// All keys with a prefix, as of a revision of the store.
+/// All entries with a key prefix, as of a revision of the store.
 struct store_section {
     std::string prefix;
     std::int64_t revision = 0;
-    std::vector<section_entry> entries; ///< In order of their keys.
+    std::vector<section_entry> entries; ///< Sorted by key.
 };
 
-/// What leads from an earlier copy of a section to a newer one, or a whole section.
+/// The difference between an earlier copy of a section and a newer one, or a whole section.
 struct section_update {
     std::string prefix;
-    std::int64_t revision = 0; ///< Of the newer copy.
-    std::vector<section_entry> changed; ///< New and changed ones, in order of their keys.
-    /// The update holds for copies of this revision and later ones; 0: `changed` is the whole section.
+    std::int64_t revision = 0; ///< Revision of the newer copy.
+    std::vector<section_entry> changed; ///< New and changed entries, sorted by key.
+    /// The update can be applied to copies of this revision or later. 0 means that `changed` is the whole
+    /// section.
     std::int64_t basedOn = 0;
-    std::vector<std::string> removed; ///< Keys that the newer copy lacks.
-    /// Of the keys of the newer copy, if the sender does not know all that went since `basedOn`: only a copy
-    /// that has just these keys afterwards is right. 0: nothing to check.
+    std::vector<std::string> removed; ///< Keys that are missing from the newer copy.
+    /// Digest of all keys of the newer copy, set if the sender may not know all keys that were removed since
+    /// `basedOn`. A copy whose keys have another digest after the update is inconsistent, and has to be
+    /// replaced by a whole section. 0: no check.
     std::uint64_t keysDigest = 0;
-    section_slice slice; ///< That the update is of.
+    section_slice slice; ///< Slice of the section that the update covers.
 };
 
-/// What a process knows of its copy of a section beside the content. It is told with each answer, also
-/// without news: an asker whose copy is as new may know less of it.
+/// Metadata of a process's copy of a section. Every answer includes it, also without an update of the
+/// section, because the requesting process may have the same revision but older metadata.
 struct section_standing {
     std::string prefix;
-    std::int64_t revision = 0; ///< Of the copy.
-    /// What was missing from a copy of this revision, or an earlier one, has gone: it has not only lapsed
-    /// while the store was away. 0: nothing is known.
+    std::int64_t revision = 0; ///< Revision of the copy.
+    /// Keys missing from a copy of this revision, or of an earlier one, are known to be removed for good,
+    /// rather than expired because the store was unreachable. 0: unknown.
     std::int64_t settledRevision = 0;
-    /// Since the copy was last known to be what the store held.
+    /// Time since the copy was last confirmed to match the store.
     milliseconds age { 0 };
-    /// The section has not changed between the copy's revision and this one, to which the store's has moved
-    /// on. What is known of the later one holds for every copy in between.
+    /// The section is known not to have changed from the copy's revision to this later revision of the store.
+    /// What is known about the later revision is therefore true of all copies in between.
     std::int64_t unchangedUntil = 0;
 };
 
-/// How a process stands with the store.
+/// State of a process's connection to the store.
 struct store_contact {
-    bool watches = false; ///< It follows the store itself, and the store answers it.
+    bool watches = false; ///< The process watches the store directly, and the store responds.
 };
 
-/// How new a process's copy of a section is.
+/// Revision of a process's copy of a section.
 struct section_revision {
     std::string prefix;
     std::int64_t revision = 0;
-    section_slice slice; ///< That the copy has.
-    std::uint32_t seed = 0; ///< Other than 0: a slice is enough, drawn by this number.
+    section_slice slice; ///< Slice that the copy contains.
+    std::uint32_t seed = 0; ///< If not 0, the process needs only a slice, chosen by this seed.
 };
 
-/// What a process asks another one for.
+/// Asks a peer for newer copies of sections, and exchanges reports of suspected requests.
 struct sync_question {
-    std::vector<section_revision> known; ///< Sections that it wants newer copies of.
-    std::vector<suspect_report> suspects; ///< News for the asked process.
-    std::uint64_t suspectsDigest = 0; ///< Of all suspects that the asker knows.
-    bool takesPacked = true; ///< The asker understands compressed sections.
+    std::vector<section_revision> known; ///< The sender's copies of the sections to update.
+    std::vector<suspect_report> suspects; ///< Reports that are new to the peer.
+    std::uint64_t suspectsDigest = 0; ///< Digest of all suspects that the sender knows.
+    bool acceptsCompressed = true; ///< The sender can read compressed sections.
 };
 
-/// What the asked process answers.
+/// Answer to a sync_question.
 struct sync_answer {
     std::vector<section_update> newer;
     store_contact contact;
-    std::vector<section_standing> standings; ///< Of the sections asked for that it has copies of.
-    std::vector<suspect_report> suspects; ///< All that it knows, if that is not what the asker does.
+    std::vector<section_standing>
+        standings; ///< For the requested sections that the answering process has copies of.
+    std::vector<suspect_report> suspects; ///< All known suspects, if the digests differ.
     std::uint64_t suspectsDigest = 0;
 };
 
-/// Heartbeats between entries. Whole members travel only when asked for.
+/// Heartbeats exchanged between entries. Full member information is sent only on request.
 struct gossip_message {
-    std::string zone; ///< Of the sender.
+    std::string zone; ///< Zone of the sender.
     std::vector<member_heartbeat> notes;
     std::vector<member_info> members;
-    std::vector<std::uint32_t> wanted; ///< Ids of members that the sender wants to know.
+    std::vector<std::uint32_t> wanted; ///< Ids of members whose full information the sender requests.
 };
 
+/// Sent to an entry by a process that does not take part in the gossip, to announce itself and to receive
+/// members and settings.
 struct follow_request {
     std::string vm;
     std::string batchAddress;
@@ -191,18 +200,18 @@
 
 struct follow_reply {
     std::vector<member_info> members;
-    std::optional<settings_update> settings; ///< Only if newer than the asker's.
+    std::optional<settings_update> settings; ///< Set only if newer than the sender's version.
 };
 
 struct submit_request {
     std::string customer;
     std::string service;
     std::string idempotencyKey;
-    milliseconds due { 0 }; ///< From now; 0 for the settings' default.
-    std::string items; ///< JSON lines.
+    milliseconds due { 0 }; ///< Time from now; 0 means the default from the settings.
+    std::string items; ///< One JSON object per line.
 };
 
-/// What callers and operators see of a job.
+/// State of a job as shown to callers and operators.
 struct job_view {
     std::string id;
     std::string service;
@@ -212,56 +221,55 @@
     std::uint64_t failed = 0;
     std::int64_t createdMs = 0; ///< Milliseconds since 1970.
     std::int64_t dueMs = 0;
-    std::int64_t endedMs = 0; ///< 0 while it runs.
-    bool existed = false; ///< A resent submission found this job.
+    std::int64_t endedMs = 0; ///< 0 while the job is running.
+    bool existed = false; ///< The submission was a retry, and this job already existed.
 };
 
 struct results_page {
-    std::string lines; ///< JSON lines, one a result.
+    std::string lines; ///< One JSON object per line, each a result.
     std::uint64_t nextCursor = 0;
     bool end = false; ///< No more results will follow.
 };
 
-// --- With callers
-// --------------------------------------------------------------------------------------------
+// --- Messages exchanged with callers ---
 
-/// A completion as callers ask for it.
+/// A completion request of a caller.
 struct completion_request {
-    std::string model; ///< The service's name.
+    std::string model; ///< Name of the service.
     std::string prompt;
     unsigned maxTokens = 16;
     bool stream = false;
 };
 
-/// Parses the body of POST /v1/completions. The failure names the field.
-result<completion_request> parseCompletion(std::string_view body, std::size_t mostPromptBytes);
+/// Parses the body of POST /v1/completions. A failure names the invalid field.
+result<completion_request> parseCompletion(std::string_view body, std::size_t maxPromptBytes);
 
-/// Writes the body that a target receives.
+/// Writes the body of the request to a target.
 std::string writeCompletion(const completion_request& request);
 
-/// Writes the JSON body of a failure, with code, message, verdict and request id.
+/// Writes the JSON body of an error reply, with code, message, verdict and request id.
 std::string writeFailure(const failure& error, std::string_view requestId);
 
-/// Reads the verdict that a target or another entry gave in a JSON error body; nothing if it gave none.
+/// Reads the verdict from the JSON error body of a target or another entry. Returns nothing if there is none.
 std::optional<verdict> readVerdict(std::string_view body);
 
-/// Writes a job's view as JSON.
+/// Writes the state of a job as JSON.
 std::string writeJob(const job_view& job);
 
-// --- Streams
-// -------------------------------------------------------------------------------------------------
+// --- Completion streams ---
 
 /// One event of a completion stream.
 struct completion_event {
     std::string text;
-    std::string finishReason; ///< Empty until the last event with text.
+    std::string finishReason; ///< Empty except in the last event with text.
 };
 
-/// Collects server-sent events of a completion stream from arbitrary pieces and checks its shape. The stream
-/// is whole once "[DONE]" was seen after a finish reason.
+/// Incremental parser of the server-sent events of a completion stream. The stream is complete once both a
+/// finish reason and "[DONE]" were received.
 class event_reader {
 public:
-    /// Adds bytes and returns the completed events' texts. Malformed events set broken().
+    /// Parses the next bytes of the stream and returns the events that they complete. A malformed event sets
+    /// broken().
     std::vector<completion_event> feed(std::string_view piece);
     bool whole() const { return m_done && !m_finishReason.empty(); }
     bool broken() const { return m_broken; }
@@ -269,22 +277,22 @@
     std::size_t events() const { return m_events; }
 
 private:
-    void takeLine(std::string_view line, std::vector<completion_event>& out);
+    void parseLine(std::string_view line, std::vector<completion_event>& out);
 
-    std::string m_partial;
+    std::string m_buffer;
     std::string m_finishReason;
     std::size_t m_events = 0;
     bool m_done = false;
     bool m_broken = false;
 };
 
-/// Formats one server-sent event of a completion.
+/// Writes one server-sent event of a completion.
 std::string writeEvent(std::string_view id, std::string_view model, const completion_event& event);
 
-/// The last event of every whole stream.
+/// The final event of every complete stream.
 constexpr std::string_view doneEvent = "data: [DONE]\n\n";
 
-/// Formats the answer to a request that did not ask for a stream.
+/// Writes the reply to a request without streaming.
 std::string writeWholeCompletion(std::string_view id, std::string_view model, std::string_view text,
     std::string_view finishReason, std::size_t tokens);
 
--- a/libs/messages/src/caller_codec.cpp
+++ b/libs/messages/src/caller_codec.cpp
@@ -8,22 +8,22 @@
 
 using json = nlohmann::json;
 
-constexpr unsigned mostTokens = 1u << 20;
+constexpr unsigned maxCompletionTokens = 1u << 20;
 
-/// Writes JSON from text that may not be valid UTF-8.
+/// Writes JSON. Replaces invalid UTF-8 in strings, which would otherwise throw.
 std::string dump(const nlohmann::ordered_json& value)
 {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-failure badField(const std::string& field, const std::string& problem)
+failure invalidField(const std::string& field, const std::string& problem)
 {
     return notRun(failure_kind::bad_request, "field \"" + field + "\": " + problem);
 }
 
 } // namespace
 
-result<completion_request> parseCompletion(std::string_view body, std::size_t mostPromptBytes)
+result<completion_request> parseCompletion(std::string_view body, std::size_t maxPromptBytes)
 {
     const auto document = json::parse(body, nullptr, false);
     if (document.is_discarded())
@@ -33,24 +33,25 @@
     completion_request request;
     const auto model = document.find("model");
     if (model == document.end() || !model->is_string() || model->get_ref<const std::string&>().empty())
-        return badField("model", "must be the name of a service");
+        return invalidField("model", "must be a non-empty string, the name of a service");
     request.model = model->get<std::string>();
     const auto prompt = document.find("prompt");
     if (prompt == document.end() || !prompt->is_string())
-        return badField("prompt", "must be a string");
+        return invalidField("prompt", "must be a string");
     request.prompt = prompt->get<std::string>();
-    if (request.prompt.size() > mostPromptBytes)
+    if (request.prompt.size() > maxPromptBytes)
         return notRun(failure_kind::too_large,
-            "field \"prompt\": is longer than " + std::to_string(mostPromptBytes) + " bytes");
+            "field \"prompt\": must not be longer than " + std::to_string(maxPromptBytes) + " bytes");
     if (const auto count = document.find("max_tokens"); count != document.end()) {
         if (!count->is_number_unsigned() || count->get<std::uint64_t>() == 0
-            || count->get<std::uint64_t>() > mostTokens)
-            return badField("max_tokens", "must be a whole number from 1 to " + std::to_string(mostTokens));
+            || count->get<std::uint64_t>() > maxCompletionTokens)
+            return invalidField(
+                "max_tokens", "must be an integer from 1 to " + std::to_string(maxCompletionTokens));
         request.maxTokens = count->get<unsigned>();
     }
     if (const auto stream = document.find("stream"); stream != document.end()) {
         if (!stream->is_boolean())
-            return badField("stream", "must be true or false");
+            return invalidField("stream", "must be true or false");
         request.stream = stream->get<bool>();
     }
     return request;
@@ -81,9 +82,9 @@
     const auto error = document.find("error");
     if (error == document.end() || !error->is_object())
         return std::nullopt;
-    const auto word = error->value("verdict", "");
+    const auto name = error->value("verdict", "");
     for (auto candidate : { verdict::not_run, verdict::may_have_run, verdict::done }) {
-        if (word == toString(candidate))
+        if (name == toString(candidate))
             return candidate;
     }
     return std::nullopt;
--- a/libs/messages/src/event_stream.cpp
+++ b/libs/messages/src/event_stream.cpp
@@ -7,23 +7,23 @@
 std::vector<completion_event> event_reader::feed(std::string_view piece)
 {
     std::vector<completion_event> events;
-    m_partial.append(piece);
+    m_buffer.append(piece);
     std::size_t begin = 0;
-    for (auto end = m_partial.find('\n'); end != std::string::npos; end = m_partial.find('\n', begin)) {
-        takeLine(std::string_view(m_partial).substr(begin, end - begin), events);
+    for (auto end = m_buffer.find('\n'); end != std::string::npos; end = m_buffer.find('\n', begin)) {
+        parseLine(std::string_view(m_buffer).substr(begin, end - begin), events);
         begin = end + 1;
     }
-    m_partial.erase(0, begin);
+    m_buffer.erase(0, begin);
     return events;
 }
 
-void event_reader::takeLine(std::string_view line, std::vector<completion_event>& out)
+void event_reader::parseLine(std::string_view line, std::vector<completion_event>& out)
 {
     constexpr std::string_view field = "data:";
     if (!line.empty() && line.back() == '\r')
         line.remove_suffix(1);
     if (!line.starts_with(field))
-        return; // Blank lines end events; comments and other fields carry nothing here.
+        return; // Events are one line each, so blank lines, comments and other fields can be ignored.
     line.remove_prefix(field.size());
     if (line.starts_with(' '))
         line.remove_prefix(1);
--- a/libs/messages/src/store_section.cpp
+++ b/libs/messages/src/store_section.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-/// A slice has some entries of each zone, for a process that is cut off from all others, and is told in one
-/// small message.
-constexpr std::size_t entriesOfSlice = 256;
-/// A slice of half or four times the size is kept, so that a section whose size wavers is not told anew.
-constexpr std::size_t leastEntries = entriesOfSlice / 2;
-constexpr std::size_t mostEntries = entriesOfSlice * 4;
+/// Large enough to include entries of each zone, so that a process that is partitioned from all others still
+/// knows some of them, and small enough for one short message.
+constexpr std::size_t nominalSliceEntries = 256;
+/// A slice between half and four times the nominal size is kept, so that a section whose size fluctuates is
+/// not sent again with each change of the number of parts.
+constexpr std::size_t minSliceEntries = nominalSliceEntries / 2;
+constexpr std::size_t maxSliceEntries = nominalSliceEntries * 4;
 
 } // namespace
 
@@ -25,10 +26,10 @@
 
 section_slice sliceFor(std::size_t entries, const section_slice& held, std::uint32_t seed)
 {
-    const auto ofEach = entries / held.parts;
-    if (ofEach < mostEntries && (held.whole() || ofEach >= leastEntries))
+    const auto entriesPerSlice = entries / held.parts;
+    if (entriesPerSlice < maxSliceEntries && (held.whole() || entriesPerSlice >= minSliceEntries))
         return held;
-    const auto parts = std::bit_floor(std::max<std::size_t>(entries / entriesOfSlice, 1));
+    const auto parts = std::bit_floor(std::max<std::size_t>(entries / nominalSliceEntries, 1));
     return { static_cast<std::uint32_t>(parts), static_cast<std::uint32_t>(seed % parts) };
 }
 
--- a/libs/messages/tests/test_messages.cpp
+++ b/libs/messages/tests/test_messages.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string problemOf(std::string_view body)
+std::string errorMessage(std::string_view body)
 {
     const auto parsed = parseCompletion(body, 100);
     return parsed ? "" : parsed.error().message;
@@ -14,23 +14,24 @@
 
 } // namespace
 
-TEST_CASE("malformed completions are refused with the field's name")
+TEST_CASE("malformed completion requests are rejected with the name of the field")
 {
-    CHECK(problemOf("{") == "the body is not valid JSON");
-    CHECK(problemOf("[]") == "the body is not a JSON object");
-    CHECK(problemOf(R"({"prompt":"x"})").find("\"model\"") != std::string::npos);
-    CHECK(problemOf(R"({"model":"m","prompt":5})").find("\"prompt\"") != std::string::npos);
-    CHECK(problemOf(R"({"model":"m","prompt":"x","max_tokens":0})").find("\"max_tokens\"")
+    CHECK(errorMessage("{") == "the body is not valid JSON");
+    CHECK(errorMessage("[]") == "the body is not a JSON object");
+    CHECK(errorMessage(R"({"prompt":"x"})").find("\"model\"") != std::string::npos);
+    CHECK(errorMessage(R"({"model":"m","prompt":5})").find("\"prompt\"") != std::string::npos);
+    CHECK(errorMessage(R"({"model":"m","prompt":"x","max_tokens":0})").find("\"max_tokens\"")
         != std::string::npos);
-    CHECK(problemOf(R"({"model":"m","prompt":"x","max_tokens":-1})").find("\"max_tokens\"")
+    CHECK(errorMessage(R"({"model":"m","prompt":"x","max_tokens":-1})").find("\"max_tokens\"")
         != std::string::npos);
-    CHECK(problemOf(R"({"model":"m","prompt":"x","stream":"yes"})").find("\"stream\"") != std::string::npos);
-    CHECK(problemOf(R"({"model":"m","prompt":")" + std::string(101, 'x') + "\"}").find("longer")
+    CHECK(
+        errorMessage(R"({"model":"m","prompt":"x","stream":"yes"})").find("\"stream\"") != std::string::npos);
+    CHECK(errorMessage(R"({"model":"m","prompt":")" + std::string(101, 'x') + "\"}").find("longer")
         != std::string::npos);
-    CHECK(problemOf(R"({"model":"m","prompt":"x","max_tokens":3,"stream":true})").empty());
+    CHECK(errorMessage(R"({"model":"m","prompt":"x","max_tokens":3,"stream":true})").empty());
 }
 
-TEST_CASE("a stream is whole only with its finish reason and final event, however it is cut into pieces")
+TEST_CASE("a stream is complete only with a finish reason and the final event, however its bytes are split")
 {
     const std::string stream = writeEvent("1", "m", { "a ", "" }) + ": comment\n\n"
         + writeEvent("1", "m", { "b", "length" }) + std::string(doneEvent);
@@ -46,16 +47,16 @@
         CHECK(text == "a b");
         CHECK(reader.finishReason() == "length");
     }
-    event_reader cut;
-    cut.feed(writeEvent("1", "m", { "a", "" }));
-    cut.feed(doneEvent);
-    CHECK(!cut.whole());
+    event_reader truncated;
+    truncated.feed(writeEvent("1", "m", { "a", "" }));
+    truncated.feed(doneEvent);
+    CHECK(!truncated.whole());
     event_reader broken;
     broken.feed("data: {\"choices\":[]}\n");
     CHECK(broken.broken());
 }
 
-TEST_CASE("a failure's body carries its verdict")
+TEST_CASE("the JSON body of a failure contains its verdict")
 {
     const auto body = writeFailure(mayHaveRun(failure_kind::incomplete, "cut \xff"), "r1");
     CHECK(readVerdict(body) == verdict::may_have_run);
--- a/libs/wire/src/wire.cpp
+++ b/libs/wire/src/wire.cpp
@@ -16,54 +16,54 @@
 
 void toWire(const ask_message& message, steady_time now, peer::Ask& out)
 {
-    const auto& ask = message.ask;
-    out.set_id(ask.id);
+    const auto& request = message.ask;
+    out.set_id(request.id);
     out.set_group(message.group);
-    out.set_customer(ask.customer);
-    out.set_work_class(static_cast<std::uint32_t>(ask.workClass));
-    out.set_weight(static_cast<float>(ask.weight));
-    out.set_queue_limit(ask.queueLimit);
-    out.set_cost(static_cast<float>(ask.cost));
-    for (auto prefix : ask.prefixes)
+    out.set_customer(request.customer);
+    out.set_work_class(static_cast<std::uint32_t>(request.workClass));
+    out.set_weight(static_cast<float>(request.weight));
+    out.set_queue_limit(request.queueLimit);
+    out.set_cost(static_cast<float>(request.cost));
+    for (auto prefix : request.prefixes)
         out.add_prefixes(prefix);
-    out.set_avoid(ask.avoid);
-    out.set_wait_ms(static_cast<std::uint32_t>(millisecondsUntil(ask.deadline, now)));
-    out.set_due_in_ms(millisecondsUntil(ask.due, now));
-    out.set_hold_ms(static_cast<std::uint32_t>(ask.hold.count()));
-    out.set_at_once(ask.immediate);
-    out.set_request_id(ask.requestId);
-    out.set_begun(ask.begun);
+    out.set_avoid(request.avoid);
+    out.set_wait_ms(static_cast<std::uint32_t>(millisecondsUntil(request.deadline, now)));
+    out.set_due_in_ms(millisecondsUntil(request.due, now));
+    out.set_hold_ms(static_cast<std::uint32_t>(request.hold.count()));
+    out.set_at_once(request.immediate);
+    out.set_request_id(request.requestId);
+    out.set_begun(request.begun);
 }
 
 ask_message fromWire(const peer::Ask& in, steady_time now)
 {
     ask_message message;
     message.group = in.group();
-    auto& ask = message.ask;
-    ask.id = in.id();
-    ask.customer = in.customer();
-    ask.workClass = in.work_class() == 0 ? work_class::live : work_class::bulk;
-    ask.weight = in.weight();
-    ask.queueLimit = in.queue_limit();
-    ask.cost = in.cost();
-    ask.prefixes.assign(in.prefixes().begin(), in.prefixes().end());
-    ask.avoid = in.avoid();
-    ask.deadline = now + milliseconds { in.wait_ms() };
-    ask.hold = milliseconds { in.hold_ms() };
-    ask.immediate = in.at_once();
-    ask.requestId = in.request_id();
-    ask.begun = in.begun();
-    ask.due = now + milliseconds { static_cast<std::int64_t>(in.due_in_ms()) };
+    auto& request = message.ask;
+    request.id = in.id();
+    request.customer = in.customer();
+    request.workClass = in.work_class() == 0 ? work_class::live : work_class::bulk;
+    request.weight = in.weight();
+    request.queueLimit = in.queue_limit();
+    request.cost = in.cost();
+    request.prefixes.assign(in.prefixes().begin(), in.prefixes().end());
+    request.avoid = in.avoid();
+    request.deadline = now + milliseconds { in.wait_ms() };
+    request.hold = milliseconds { in.hold_ms() };
+    request.immediate = in.at_once();
+    request.requestId = in.request_id();
+    request.begun = in.begun();
+    request.due = now + milliseconds { static_cast<std::int64_t>(in.due_in_ms()) };
     return message;
 }
 
-void toWire(const share_request& ask, peer::LimitMessage& out)
+void toWire(const share_request& request, peer::LimitMessage& out)
 {
     auto& wire = *out.mutable_share_ask();
-    wire.set_stamp(ask.stamp);
-    wire.set_borrows(ask.borrows);
-    wire.set_hears_most(ask.reachability.hasMajority);
-    for (const auto& vm : ask.reachability.unresponsive)
+    wire.set_stamp(request.stamp);
+    wire.set_borrows(request.borrows);
+    wire.set_hears_most(request.reachability.hasMajority);
+    for (const auto& vm : request.reachability.unresponsive)
         wire.add_silent(vm);
 }
 
@@ -77,9 +77,9 @@
     wire.set_added(loan.added);
     wire.set_fill_percent(loan.fillPercent);
     for (const auto& fill : loan.emptier) {
-        auto& one = *wire.add_emptier();
-        one.set_customer(fill.customer);
-        one.set_percent(fill.percent);
+        auto& element = *wire.add_emptier();
+        element.set_customer(fill.customer);
+        element.set_percent(fill.percent);
     }
     wire.set_settled(loan.settled);
     wire.set_wants_answer(loan.wantsAnswer);
@@ -90,10 +90,10 @@
     auto& wire = *out.mutable_token_request();
     wire.set_stamp(request.stamp);
     for (const auto& level : request.levels) {
-        auto& one = *wire.add_levels();
-        one.set_customer(level.customer);
-        one.set_tokens(static_cast<float>(level.tokens));
-        one.set_capacity(static_cast<float>(level.capacity));
+        auto& element = *wire.add_levels();
+        element.set_customer(level.customer);
+        element.set_tokens(static_cast<float>(level.tokens));
+        element.set_capacity(static_cast<float>(level.capacity));
     }
 }
 
@@ -103,10 +103,10 @@
     wire.set_request_stamp(transfer.requestStamp);
     wire.set_room_valid_ms(static_cast<std::uint32_t>(transfer.roomValidFor.count()));
     for (const auto& tokens : transfer.tokens) {
-        auto& one = *wire.add_tokens();
-        one.set_customer(tokens.customer);
-        one.set_tokens(tokens.tokens);
-        one.set_room(tokens.room);
+        auto& element = *wire.add_tokens();
+        element.set_customer(tokens.customer);
+        element.set_tokens(tokens.tokens);
+        element.set_room(tokens.room);
     }
 }
 
@@ -154,21 +154,21 @@
     std::visit([&](const auto& body) { toWire(body, out); }, message.body);
 }
 
-/// Nothing if the sender speaks of what this version does not know.
+/// Returns nothing for a message type that this version does not know.
 std::optional<limit_message> fromWire(const peer::LimitMessage& in)
 {
-    const auto with = [&](limit_message_body body) {
+    const auto makeMessage = [&](limit_message_body body) {
         return limit_message { in.vm(), in.incarnation(), std::move(body) };
     };
     switch (in.body_case()) {
     case peer::LimitMessage::kShareAsk:
-        return with(fromWire(in.share_ask()));
+        return makeMessage(fromWire(in.share_ask()));
     case peer::LimitMessage::kShareLoan:
-        return with(fromWire(in.share_loan()));
+        return makeMessage(fromWire(in.share_loan()));
     case peer::LimitMessage::kTokenRequest:
-        return with(fromWire(in.token_request()));
+        return makeMessage(fromWire(in.token_request()));
     case peer::LimitMessage::kTokenTransfer:
-        return with(fromWire(in.token_transfer()));
+        return makeMessage(fromWire(in.token_transfer()));
     case peer::LimitMessage::BODY_NOT_SET:
         break;
     }
@@ -179,8 +179,8 @@
 
 void toWire(const envelope& message, steady_time now, peer::Envelope& out)
 {
-    for (const auto& ask : message.asks)
-        toWire(ask, now, *out.add_asks());
+    for (const auto& request : message.asks)
+        toWire(request, now, *out.add_asks());
     for (const auto& grant : message.grants) {
         auto& wire = *out.add_grants();
         wire.set_ask_id(grant.slotRequestId);
@@ -219,15 +219,15 @@
         wire.set_group(withdrawal.group);
         wire.set_ask_id(withdrawal.slotRequestId);
     }
-    for (const auto& one : message.limits)
-        toWire(one, *out.add_limits());
+    for (const auto& element : message.limits)
+        toWire(element, *out.add_limits());
 }
 
 envelope fromWire(const peer::Envelope& in, steady_time now)
 {
     envelope message;
-    for (const auto& ask : in.asks())
-        message.asks.push_back(fromWire(ask, now));
+    for (const auto& request : in.asks())
+        message.asks.push_back(fromWire(request, now));
     for (const auto& grant : in.grants())
         message.grants.push_back({ 0, grant.ask_id(), grant.grant_id(), grant.target(), grant.address(),
             milliseconds { grant.waited_ms() } });
@@ -243,7 +243,7 @@
     for (const auto& revoke : in.revokes())
         message.revokes.push_back({ revoke.group(), revoke.grant_id() });
     for (const auto& release : in.releases()) {
-        // An outcome that a newer peer may know says nothing here.
+        // An outcome that only newer versions know is treated as abandoned.
         const auto outcome = release.outcome() <= static_cast<std::uint32_t>(grant_outcome::unused)
             ? static_cast<grant_outcome>(release.outcome())
             : grant_outcome::abandoned;
@@ -252,8 +252,8 @@
     }
     for (const auto& withdrawal : in.withdrawals())
         message.withdrawals.push_back({ withdrawal.group(), withdrawal.ask_id() });
-    for (const auto& one : in.limits()) {
-        if (auto known = fromWire(one))
+    for (const auto& element : in.limits()) {
+        if (auto known = fromWire(element))
             message.limits.push_back(std::move(*known));
     }
     return message;
@@ -355,26 +355,26 @@
 
 namespace {
 
-/// Below this a message costs more for itself than for its bytes.
-constexpr std::size_t leastPackedBytes = 4096;
+/// Below this size the fixed cost of a message exceeds the cost of its bytes, so compression saves nothing.
+constexpr std::size_t compressionThresholdBytes = 4096;
 
-void packEntries(peer::Section& section)
+void compressEntries(peer::Section& section)
 {
-    peer::Section plain;
-    plain.mutable_entries()->Swap(section.mutable_entries());
-    section.set_packed_entries(compress(plain.SerializeAsString()));
+    peer::Section uncompressed;
+    uncompressed.mutable_entries()->Swap(section.mutable_entries());
+    section.set_packed_entries(compress(uncompressed.SerializeAsString()));
 }
 
-result<peer::Section> unpackEntries(const std::string& packed)
+result<peer::Section> decompressEntries(const std::string& compressed)
 {
-    BOOST_OUTCOME_TRY(auto bytes, decompress(packed));
-    peer::Section plain;
-    if (!plain.ParseFromString(bytes))
-        return mayHaveRun(failure_kind::incomplete, "the packed entries of a section cannot be read");
-    return plain;
+    BOOST_OUTCOME_TRY(auto bytes, decompress(compressed));
+    peer::Section uncompressed;
+    if (!uncompressed.ParseFromString(bytes))
+        return mayHaveRun(failure_kind::incomplete, "the compressed entries of a section cannot be parsed");
+    return uncompressed;
 }
 
-/// Processes of before slices send no parts.
+/// Versions without slices do not set the number of parts.
 section_slice sliceFromWire(std::uint32_t parts, std::uint32_t part)
 {
     return parts <= 1 ? section_slice {} : section_slice { parts, part };
@@ -388,7 +388,7 @@
 
 } // namespace
 
-void toWire(const section_update& update, bool pack, peer::Section& out)
+void toWire(const section_update& update, bool allowCompression, peer::Section& out)
 {
     out.set_prefix(update.prefix);
     out.set_revision(update.revision);
@@ -406,8 +406,8 @@
     }
     for (const auto& key : update.removed)
         out.add_removed(key);
-    if (pack && bytes >= leastPackedBytes)
-        packEntries(out);
+    if (allowCompression && bytes >= compressionThresholdBytes)
+        compressEntries(out);
 }
 
 result<section_update> fromWire(const peer::Section& in)
@@ -416,8 +416,8 @@
         sliceFromWire(in.parts(), in.part()) };
     addEntries(in, update);
     if (!in.packed_entries().empty()) {
-        BOOST_OUTCOME_TRY(auto unpacked, unpackEntries(in.packed_entries()));
-        addEntries(unpacked, update);
+        BOOST_OUTCOME_TRY(auto decompressed, decompressEntries(in.packed_entries()));
+        addEntries(decompressed, update);
     }
     update.removed.assign(in.removed().begin(), in.removed().end());
     return update;
@@ -425,13 +425,13 @@
 
 namespace {
 
-void toWire(const suspect_report& note, peer::Suspect& out)
+void toWire(const suspect_report& report, peer::Suspect& out)
 {
-    out.set_identity_high(note.identity.high);
-    out.set_identity_low(note.identity.low);
-    out.set_acquittals(note.record.acquittals);
-    out.set_strikes(note.record.strikes);
-    out.set_age_ms(static_cast<std::uint64_t>(note.age.count()));
+    out.set_identity_high(report.identity.high);
+    out.set_identity_low(report.identity.low);
+    out.set_acquittals(report.record.acquittals);
+    out.set_strikes(report.record.strikes);
+    out.set_age_ms(static_cast<std::uint64_t>(report.age.count()));
 }
 
 suspect_report fromWire(const peer::Suspect& in)
@@ -452,10 +452,10 @@
         added->set_part(section.slice.part);
         added->set_seed(section.seed);
     }
-    for (const auto& note : question.suspects)
-        toWire(note, *out.add_suspects());
+    for (const auto& report : question.suspects)
+        toWire(report, *out.add_suspects());
     out.set_suspects_digest(question.suspectsDigest);
-    out.set_takes_packed(question.takesPacked);
+    out.set_takes_packed(question.acceptsCompressed);
 }
 
 sync_question fromWire(const peer::SyncRequest& in)
@@ -464,20 +464,20 @@
     for (const auto& section : in.known())
         question.known.push_back({ section.prefix(), section.revision(),
             sliceFromWire(section.parts(), section.part()), section.seed() });
-    for (const auto& note : in.suspects())
-        question.suspects.push_back(fromWire(note));
+    for (const auto& report : in.suspects())
+        question.suspects.push_back(fromWire(report));
     question.suspectsDigest = in.suspects_digest();
-    question.takesPacked = in.takes_packed();
+    question.acceptsCompressed = in.takes_packed();
     return question;
 }
 
-void toWire(const sync_answer& answer, bool pack, peer::SyncReply& out)
+void toWire(const sync_answer& answer, bool allowCompression, peer::SyncReply& out)
 {
-    for (const auto& note : answer.suspects)
-        toWire(note, *out.add_suspects());
+    for (const auto& report : answer.suspects)
+        toWire(report, *out.add_suspects());
     out.set_suspects_digest(answer.suspectsDigest);
     for (const auto& update : answer.newer)
-        toWire(update, pack, *out.add_newer());
+        toWire(update, allowCompression, *out.add_newer());
     out.set_watches_store(answer.contact.watches);
     for (const auto& standing : answer.standings) {
         auto* added = out.add_standings();
@@ -500,8 +500,8 @@
     for (const auto& standing : in.standings())
         answer.standings.push_back({ standing.prefix(), standing.revision(), standing.settled_revision(),
             milliseconds { static_cast<std::int64_t>(standing.age_ms()) }, standing.unchanged_until() });
-    for (const auto& note : in.suspects())
-        answer.suspects.push_back(fromWire(note));
+    for (const auto& report : in.suspects())
+        answer.suspects.push_back(fromWire(report));
     answer.suspectsDigest = in.suspects_digest();
     return answer;
 }
--- a/libs/wire/tests/test_wire.cpp
+++ b/libs/wire/tests/test_wire.cpp
@@ -11,19 +11,19 @@
 
 } // namespace
 
-TEST_CASE("an envelope survives its encoding")
+TEST_CASE("an envelope is unchanged by encoding and decoding")
 {
     envelope message;
-    slot_request ask;
-    ask.id = 7;
-    ask.customer = "armor";
-    ask.workClass = work_class::bulk;
-    ask.weight = 2;
-    ask.prefixes = { 1, 2, 3 };
-    ask.deadline = start + 5s;
-    ask.due = start + 1h;
-    ask.hold = 7s;
-    message.asks.push_back({ "screening/rennes-a/0", ask });
+    slot_request request;
+    request.id = 7;
+    request.customer = "armor";
+    request.workClass = work_class::bulk;
+    request.weight = 2;
+    request.prefixes = { 1, 2, 3 };
+    request.deadline = start + 5s;
+    request.due = start + 1h;
+    request.hold = 7s;
+    message.asks.push_back({ "screening/rennes-a/0", request });
     message.grants.push_back({ 0, 7, 8, "s1", "127.0.0.1:7001", 12ms });
     message.refusals.push_back({ 0, 9, notRun(failure_kind::overloaded, "full", 1500ms) });
     message.moved.push_back({ 10, "127.0.0.1:9" });
@@ -43,7 +43,7 @@
     REQUIRE(received.ParseFromString(wire.SerializeAsString()));
     const auto copy = fromWire(received, later);
     CHECK(copy.asks[0].ask.deadline == later + 5s);
-    CHECK(copy.asks[0].ask.prefixes == ask.prefixes);
+    CHECK(copy.asks[0].ask.prefixes == request.prefixes);
     CHECK(copy.asks[0].ask.hold == 7s);
     CHECK(copy.asks[0].ask.workClass == work_class::bulk);
     CHECK(copy.grants[0].address == "127.0.0.1:7001");
@@ -56,7 +56,7 @@
     CHECK(copy.asks.front().ask.begun);
 }
 
-TEST_CASE("members and settings survive their encoding")
+TEST_CASE("members and settings are unchanged by encoding and decoding")
 {
     const member_info member { "vm1", "rennes-a", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 4, 5, true, 6,
         7 };
@@ -82,7 +82,7 @@
     CHECK(copy.nodes.at("fleet").values.at("weight") == "2");
 }
 
-TEST_CASE("heartbeat notes survive their encoding")
+TEST_CASE("heartbeats are unchanged by encoding and decoding")
 {
     gossip_message message { "a", { { 1, 2, 3, 100, 90, false }, { 4, 5, 6, 80, 0, true } }, {}, { 7 } };
     peer::Digest wire;
@@ -97,7 +97,7 @@
     CHECK(copy.wanted == std::vector<std::uint32_t> { 7 });
 }
 
-TEST_CASE("what is known of suspected requests survives its encoding")
+TEST_CASE("reports of suspected requests are unchanged by encoding and decoding")
 {
     const suspect_report note { { 1, 2 }, { 3, 4 }, milliseconds { 500 } };
     peer::SyncRequest wireQuestion;
@@ -117,10 +117,10 @@
     CHECK(copy.suspectsDigest == 8);
 }
 
-// Story: a fleet of 300 processes starts again, each asks for the list of 3,000 targets, 900 KB for each: the
-// links of those that are asked are busy for half a minute, every ask ends by its timeout and is sent again,
-// and all callers wait.
-TEST_CASE("large sections travel compressed to those that take it")
+// When a fleet of 300 processes restarts, each requests the list of 3,000 targets, which has 900 KB
+// uncompressed. The network links of the queried processes were saturated for half a minute, all requests
+// timed out and were retried, and all callers had to wait.
+TEST_CASE("large sections are compressed for receivers that accept compression")
 {
     section_update update { "targets/", 12, {}, 0, { "targets/gone" }, 5 };
     for (int i = 0; i < 3000; ++i)
@@ -128,23 +128,23 @@
             R"({"service":"llm","address":"10.3.64.)" + std::to_string(i % 250)
                 + R"(:8000","zone":"vannes-c","version":"v1","slots":8,"state":"ready","cold_left_ms":0})",
             i + 1 });
-    peer::Section plain;
-    toWire(update, false, plain);
-    peer::Section packed;
-    toWire(update, true, packed);
-    CHECK(packed.ByteSizeLong() * 5 < plain.ByteSizeLong());
-    for (const auto* wire : { &plain, &packed }) {
+    peer::Section uncompressed;
+    toWire(update, false, uncompressed);
+    peer::Section compressed;
+    toWire(update, true, compressed);
+    CHECK(compressed.ByteSizeLong() * 5 < uncompressed.ByteSizeLong());
+    for (const auto* wire : { &uncompressed, &compressed }) {
         const auto read = fromWire(*wire);
         REQUIRE(read);
         CHECK(read.value().changed == update.changed);
         CHECK(read.value().removed == update.removed);
         CHECK(read.value().keysDigest == 5);
     }
-    packed.set_packed_entries("damaged");
-    CHECK(!fromWire(packed));
+    compressed.set_packed_entries("damaged");
+    CHECK(!fromWire(compressed));
 }
 
-TEST_CASE("small sections travel as they are")
+TEST_CASE("small sections are sent uncompressed")
 {
     const section_update update { "orders/", 12, { { "orders/config", "{}", 3 } }, 9, {}, 0 };
     peer::Section wire;
