--- a/libs/admin/include/admin/admin.h
+++ b/libs/admin/include/admin/admin.h
@@ -6,21 +6,21 @@
 #include <functional>
 #include <memory>
 
-/// The administration API over the settings tree. Holds nothing that must last.
+/// Administration API for the settings tree. Has no persistent state.
 namespace yuccachute {
 
-/// Answers one administration request. Without I/O but the store's: tests call it directly.
+/// Handles administration requests. Its only I/O is access to the store, so tests call it directly.
 ///
 ///   GET  /admin/tree                 the tree as INI
-///   GET  /admin/node?path=P          values of one node, its revision, and the effective value of each key
+///   GET  /admin/node?path=P          values and revision of one node, and the effective value of each key
 ///   POST /admin/edits                {"note": "...", "edits": [{"path", "set", "unset", "remove", "base"}]}
-///   POST /admin/check                the same, checked and not accepted
-///   GET  /admin/history?most=N       accepted edits, the newest first
-///   GET  /admin/schema               every key with type, range and meaning
-///   GET  /admin/status               members and the version each has in force
+///   POST /admin/check                same body; validates the edits without applying them
+///   GET  /admin/history?most=N       the last N edits, newest first
+///   GET  /admin/schema               all keys with type, range and meaning
+///   GET  /admin/status               all members with the settings version that each has in force
 ///
-/// Every request names an operator's token. While the tree has no operator, every request is allowed, so that
-/// the first settings can be applied.
+/// Every request must contain an operator's token. While the tree has no operator, all requests are allowed,
+/// so that the initial settings can be applied.
 class admin_api {
 public:
     using member_source = std::function<std::vector<member_info>()>;
@@ -42,7 +42,7 @@
 class admin_process {
 public:
     explicit admin_process(const process_options& options);
-    /// Graceful shutdown: running requests finish.
+    /// Shuts down gracefully: waits for running requests, up to the stop limit.
     ~admin_process();
     admin_process(const admin_process&) = delete;
     admin_process& operator=(const admin_process&) = delete;
--- a/libs/admin/src/admin_api.cpp
+++ b/libs/admin/src/admin_api.cpp
@@ -30,28 +30,28 @@
         [](const auto& node) { return kindOfPath(node.first) == node_kind::operator_account; });
 }
 
-failure badEdit(std::size_t number, const std::string& problem)
+failure invalidEdit(std::size_t index, const std::string& problem)
 {
-    return notRun(failure_kind::bad_request, "edits[" + std::to_string(number) + "]: " + problem);
+    return notRun(failure_kind::bad_request, "edits[" + std::to_string(index) + "]: " + problem);
 }
 
-result<settings_edit> parseEdit(const json& document, std::size_t number)
+result<settings_edit> parseEdit(const json& document, std::size_t index)
 {
     settings_edit edit;
     if (!document.is_object() || !document.contains("path") || !document["path"].is_string())
-        return badEdit(number, "\"path\" must be a string");
+        return invalidEdit(index, "\"path\" must be a string");
     edit.path = document["path"].get<std::string>();
     for (const auto& [name, value] : document.items()) {
         if (name == "set" && value.is_object()) {
             for (const auto& [key, text] : value.items()) {
                 if (!text.is_string())
-                    return badEdit(number, "set." + key + " must be a string");
+                    return invalidEdit(index, "set." + key + " must be a string");
                 edit.set[key] = text.get<std::string>();
             }
         } else if (name == "unset" && value.is_array()) {
             for (const auto& key : value) {
                 if (!key.is_string())
-                    return badEdit(number, "unset must hold strings");
+                    return invalidEdit(index, "unset must hold strings");
                 edit.unset.push_back(key.get<std::string>());
             }
         } else if (name == "remove" && value.is_boolean()) {
@@ -59,7 +59,7 @@
         } else if (name == "base" && value.is_number_integer()) {
             edit.base = value.get<std::int64_t>();
         } else if (name != "path") {
-            return badEdit(number,
+            return invalidEdit(index,
                 "\"" + name
                     + "\" is unknown or of the wrong type; known are path, set, unset, remove and base");
         }
@@ -93,9 +93,9 @@
 {
     json keys = json::array();
     for (const auto& key : schema())
-        keys.push_back(
-            { { "key", key.name }, { "type", key.type }, { "default", key.fallback }, { "least", key.least },
-                { "most", key.most }, { "choices", key.choices }, { "meaning", key.meaning } });
+        keys.push_back({ { "key", key.name }, { "type", key.type }, { "default", key.fallback },
+            { "least", key.minimum }, { "most", key.maximum }, { "choices", key.choices },
+            { "meaning", key.meaning } });
     return jsonReply(200, keys);
 }
 
@@ -118,23 +118,25 @@
         ? findOperatorByToken(tree, authorization.substr(scheme.size()))
         : std::nullopt;
     if (!account)
-        return notRun(
-            failure_kind::unauthorized, "header Authorization: must be \"Bearer \" and an operator's token");
+        return notRun(failure_kind::unauthorized,
+            "header Authorization: must be \"Bearer \" followed by an operator's token");
     return *account;
 }
 
 http_reply admin_api::handle(const http_request& request)
 {
-    // Reads come from the store, so that an operator sees what is accepted; while it is down, from what is in
-    // force here, and the answer says so.
+    // Reads are served from the store, so that operators see the latest edits. While the store is
+    // unreachable, they are served from the settings in force in this process, as the header
+    // X-Settings-Source tells.
     auto stored = readSettings(m_store);
     const bool fromStore = stored.has_value();
-    const auto held = m_settings.current();
-    const settings_tree& tree = fromStore ? stored.value() : held->tree;
-    // Without any settings nobody can be told from an operator: nothing is allowed until the store answers.
+    const auto localSettings = m_settings.current();
+    const settings_tree& tree = fromStore ? stored.value() : localSettings->tree;
+    // Without any settings operators cannot be authenticated, so all requests are refused until the store
+    // responds.
     if (!fromStore && tree.version == 0)
         return failureReply(notRun(failure_kind::unavailable,
-            "the store does not answer and no settings are known yet", milliseconds { 2000 }));
+            "the store is not responding and this process has no settings yet", milliseconds { 2000 }));
     const auto account = authorize(request, tree);
     if (!account)
         return failureReply(account.error());
@@ -152,8 +154,8 @@
     else if (request.path == "/admin/status")
         reply = showStatus(tree);
     else if (request.path == "/admin/history") {
-        const auto most = std::atoi(queryParameter(request.query, "most").c_str());
-        const auto history = readHistory(m_store, most > 0 ? static_cast<std::size_t>(most) : 20);
+        const auto maxEntries = std::atoi(queryParameter(request.query, "most").c_str());
+        const auto history = readHistory(m_store, maxEntries > 0 ? static_cast<std::size_t>(maxEntries) : 20);
         if (!history)
             return failureReply(history.error());
         json entries = json::array();
@@ -161,7 +163,7 @@
             entries.push_back(json::parse(entry));
         reply = jsonReply(200, entries);
     } else {
-        return failureReply(notRun(failure_kind::not_found, "no such path or method"));
+        return failureReply(notRun(failure_kind::not_found, "unknown path, or method not supported for it"));
     }
     reply.headers.emplace_back("X-Settings-Version", std::to_string(tree.version));
     reply.headers.emplace_back(
--- a/libs/admin/src/admin_process.cpp
+++ b/libs/admin/src/admin_process.cpp
@@ -5,8 +5,8 @@
 namespace yuccachute {
 
 struct admin_process::impl {
-    explicit impl(const process_options& given)
-        : options(given)
+    explicit impl(const process_options& initialOptions)
+        : options(initialOptions)
         , rpc(options.peers)
         , store(connectStore(options.store))
         , follower(rpc, options.seeds, { options.vm, {}, options.http, 0 }, settings)
--- a/libs/admin/tests/test_admin.cpp
+++ b/libs/admin/tests/test_admin.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("edits are checked, accepted with a version, shown and remembered")
+TEST_CASE("edits are validated, applied, shown in the tree and recorded in the history")
 {
     fixture f;
     CHECK(f.post("/admin/edits", edits(R"({"path":"fleet","set":{"weight":"2"}})")).status == 200);
@@ -52,7 +52,7 @@
     CHECK(f.get("/admin/tree").body == "[fleet]\nweight = 2\n");
 }
 
-TEST_CASE("bad edits are refused with the place of the error")
+TEST_CASE("errors for invalid edits name the edit and field")
 {
     fixture f;
     CHECK(f.post("/admin/edits", "nonsense").status == 400);
@@ -68,7 +68,7 @@
     CHECK(f.get("/admin/tree").body.empty());
 }
 
-TEST_CASE("operators need a token and stay within their scope")
+TEST_CASE("operators need a valid token and can edit only within their scope")
 {
     fixture f;
     const auto ana = R"({"path":"operator/ana","set":{"token_sha256":")" + sha256Hex("t-ana") + R"("}})";
@@ -83,18 +83,18 @@
     CHECK(f.post("/admin/edits", edits(R"({"path":"fleet","set":{"weight":"2"}})"), "t-ana").status == 200);
 }
 
-// Story: the store is down and an admin process has just started without any settings; with no operator
-// known, everybody would be let in.
-TEST_CASE("without settings and store nothing is allowed")
+// An admin process starts while the store is unreachable, so it knows no operators. Guards against treating
+// this like a tree without operators, which allows all requests.
+TEST_CASE("requests are refused while the store is unreachable and there are no settings")
 {
     fixture f;
     f.store.fault
         = [](std::string_view) { return std::optional(mayHaveRun(failure_kind::unavailable, "down")); };
     CHECK(f.get("/admin/tree").status == 503);
-    settings_tree held;
-    held.version = 7;
-    held.nodes["operator/ana"].values["token_sha256"] = sha256Hex("t-ana");
-    f.settings.offer(held);
+    settings_tree localTree;
+    localTree.version = 7;
+    localTree.nodes["operator/ana"].values["token_sha256"] = sha256Hex("t-ana");
+    f.settings.offer(localTree);
     CHECK(f.get("/admin/tree").status == 401);
     const auto reply = f.get("/admin/tree", {}, "t-ana");
     CHECK(reply.status == 200);
--- a/libs/ini/include/ini/ini.h
+++ b/libs/ini/include/ini/ini.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-/// INI text over inih, with the line of each value. Layer: state.
+/// INI parser based on inih that keeps the line number of each value, and a writer. Layer: state.
 namespace yuccachute {
 
 struct ini_value {
@@ -16,18 +16,20 @@
     int line = 0;
 };
 
-/// Parses INI text. A line that begins with a blank goes on with the value of the line before, so that long
-/// lists can be broken after a comma. Errors name the file and line: text that is neither a section nor a
-/// value, a line that is too long for the library, or a key set twice in one section.
+/// Parses INI text. A line that begins with white space continues the value of the previous line, so that
+/// long lists can be wrapped after a comma. Fails on a line that is neither a section header nor a value, on
+/// a line longer than the buffer of inih, and on a key set twice in one section. The error names the file and
+/// line.
 result<std::vector<ini_value>> parseIni(std::string_view fileName, std::string_view text);
 
-/// Longest part of a value without a comma that can be written.
-constexpr std::size_t mostIniPartBytes = 150;
+/// Maximum length of a written line of a value. A value is wrapped only after commas, so this also limits
+/// each of its comma-separated parts.
+constexpr std::size_t maxIniPartBytes = 150;
 
-/// Writes "key = value", broken after commas into lines that parseIni() takes.
+/// Returns "key = value", wrapped after commas into lines that parseIni() accepts.
 std::string writeIniValue(std::string_view key, std::string_view value);
 
-/// Reads a whole file; the failure names it.
+/// Reads a whole file. The error names the file.
 result<std::string> readFile(const std::string& fileName);
 
 } // namespace yuccachute
--- a/libs/ini/src/ini.cpp
+++ b/libs/ini/src/ini.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// State of one parse. The library's handler is not told the line, so the reader that feeds the library its
-/// lines counts them.
+/// State of one parse. The value handler of inih does not receive the line number, so readLine() counts
+/// lines.
 struct ini_parse {
     std::string_view rest;
     int line = 0;
-    bool continued = false; ///< The line begins with a blank.
+    bool continued = false; ///< The line begins with white space, so it continues a value.
     std::string fileName;
     std::vector<ini_value> values;
     std::set<std::pair<std::string, std::string>> seen;
@@ -48,15 +48,15 @@
     return buffer;
 }
 
-int takeValue(void* user, const char* section, const char* key, const char* value)
+int addValue(void* user, const char* section, const char* key, const char* value)
 {
     auto& parse = *static_cast<ini_parse*>(user);
-    const bool again = !parse.seen.emplace(section, key).second;
-    if (again && parse.continued && !parse.values.empty() && parse.values.back().key == key) {
+    const bool repeated = !parse.seen.emplace(section, key).second;
+    if (repeated && parse.continued && !parse.values.empty() && parse.values.back().key == key) {
         parse.values.back().value += value;
         return parse.problem.empty();
     }
-    if (again)
+    if (repeated)
         parse.fail('[' + std::string(section) + "] " + key + ": set twice");
     parse.values.push_back({ section, key, value, parse.line });
     return parse.problem.empty();
@@ -69,12 +69,12 @@
     ini_parse parse;
     parse.rest = text;
     parse.fileName = std::string(fileName);
-    const int badLine = ini_parse_stream(readLine, &parse, takeValue, &parse);
+    const int invalidLine = ini_parse_stream(readLine, &parse, addValue, &parse);
     if (!parse.problem.empty())
         return notRun(failure_kind::bad_request, parse.problem);
-    if (badLine != 0)
+    if (invalidLine != 0)
         return notRun(failure_kind::bad_request,
-            parse.fileName + ':' + std::to_string(badLine) + ": neither [section] nor key = value");
+            parse.fileName + ':' + std::to_string(invalidLine) + ": neither [section] nor key = value");
     return std::move(parse.values);
 }
 
@@ -85,7 +85,7 @@
     while (!value.empty()) {
         const auto comma = value.find(',');
         const auto part = value.substr(0, comma == std::string_view::npos ? value.size() : comma + 1);
-        if (lineLength > 0 && lineLength + part.size() > mostIniPartBytes) {
+        if (lineLength > 0 && lineLength + part.size() > maxIniPartBytes) {
             text += "\n  ";
             lineLength = 0;
         }
--- a/libs/ini/tests/test_ini.cpp
+++ b/libs/ini/tests/test_ini.cpp
@@ -4,7 +4,7 @@
 
 using namespace yuccachute;
 
-TEST_CASE("every value knows its line")
+TEST_CASE("each parsed value has its line number")
 {
     const auto values = parseIni("a.ini", "; comment\n[one]\nx = 1\n\n[two]\ny = a b\n");
     REQUIRE(values);
@@ -15,9 +15,9 @@
     CHECK(values.value()[1].line == 6);
 }
 
-// Story: an operator adds a third API key to a customer; the line is longer than the library takes, and the
-// tree that was written to a file cannot be read back.
-TEST_CASE("long lists are broken into lines and read back")
+// An operator adds a third API key hash to a customer, so that the line exceeds the buffer of inih. Guards
+// against an exported settings tree that cannot be imported again.
+TEST_CASE("long lists are wrapped and can be parsed again")
 {
     std::string list;
     for (int i = 0; i < 40; ++i)
@@ -30,7 +30,7 @@
     CHECK(parseIni("a.ini", "[s]\nk = 1\nk = 2\n").error().message.find("set twice") != std::string::npos);
 }
 
-TEST_CASE("a malformed file is refused with its name and line")
+TEST_CASE("the error for a malformed file names the file and line")
 {
     CHECK(parseIni("a.ini", "[one]\nnonsense\n").error().message
         == "a.ini:2: neither [section] nor key = value");
--- a/libs/settings/src/hash.cpp
+++ b/libs/settings/src/hash.cpp
@@ -45,17 +45,17 @@
 {
     constexpr std::string_view prefix = "operator/";
     const auto hash = sha256Hex(token);
-    std::string owner;
-    // Looks at every operator whatever it has found, so that the time taken says nothing about the token.
+    std::string operatorName;
+    // Compares with all operators even after a match, so that the run time reveals nothing about the token.
     for (auto node = tree.nodes.lower_bound(prefix);
          node != tree.nodes.end() && node->first.starts_with(prefix); ++node) {
         const auto stored = node->second.values.find("token_sha256");
         if (stored != node->second.values.end() && sameHash(stored->second, hash))
-            owner = node->first.substr(prefix.size());
+            operatorName = node->first.substr(prefix.size());
     }
-    if (owner.empty())
+    if (operatorName.empty())
         return std::nullopt;
-    return operator_account { owner, resolveKey(tree, "operator/" + owner, "scope").value };
+    return operator_account { operatorName, resolveKey(tree, "operator/" + operatorName, "scope").value };
 }
 
 bool scopeCovers(std::string_view scope, std::string_view path)
--- a/libs/settings/src/resolve.cpp
+++ b/libs/settings/src/resolve.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Paths where a key of this path is looked up, the most specific first.
+/// Returns the paths at which a key of this path is looked up, most specific first.
 std::vector<std::string> lookupPaths(std::string_view path)
 {
     const auto parts = splitText(path, '/');
@@ -37,7 +37,8 @@
     return {};
 }
 
-/// Typed access to the effective values at one path. Values were checked when they were accepted.
+/// Typed access to the effective values at one path. Values are not validated here, since every edit is
+/// validated before it is stored.
 class resolver {
 public:
     resolver(const settings_tree& tree, std::string path)
@@ -46,7 +47,7 @@
     {
     }
 
-    effective_value text(std::string_view key) const
+    effective_value lookUp(std::string_view key) const
     {
         for (const auto& path : m_paths) {
             const auto node = m_tree.nodes.find(path);
@@ -59,9 +60,9 @@
         return { std::string(schemaDefault(key)), "default" };
     }
 
-    double number(std::string_view key) const { return std::strtod(text(key).value.c_str(), nullptr); }
+    double number(std::string_view key) const { return std::strtod(lookUp(key).value.c_str(), nullptr); }
     unsigned count(std::string_view key) const { return static_cast<unsigned>(number(key)); }
-    bool flag(std::string_view key) const { return text(key).value == "true"; }
+    bool flag(std::string_view key) const { return lookUp(key).value == "true"; }
     milliseconds time(std::string_view key) const
     {
         return milliseconds { static_cast<std::int64_t>(number(key)) };
@@ -76,7 +77,7 @@
 
 effective_value resolveKey(const settings_tree& tree, std::string_view path, std::string_view key)
 {
-    return resolver(tree, std::string(path)).text(key);
+    return resolver(tree, std::string(path)).lookUp(key);
 }
 
 request_settings resolveRequest(
@@ -85,26 +86,26 @@
     std::string path = "customer/" + std::string(customer) + "/service/" + std::string(service);
     if (!job.empty())
         path += "/job/" + std::string(job);
-    const resolver from(tree, path);
+    const resolver effective(tree, path);
     request_settings settings;
-    settings.timeout = from.time("timeout_ms");
-    settings.stallTimeout = from.time("stall_timeout_ms");
-    settings.weight = from.number("weight");
-    settings.requestsPerSecond = from.number("requests_per_second");
-    settings.tokensPerSecond = from.number("tokens_per_second");
-    settings.queueLimit = from.count("queue_limit");
-    settings.retries = from.count("retries");
-    settings.retryShare = from.number("retry_share");
-    settings.continueBrokenStreams = from.flag("continue_broken_streams");
-    settings.firstTokenObjective = from.time("first_token_objective_ms");
-    settings.interTokenObjective = from.time("inter_token_objective_ms");
-    settings.jobAttempts = from.count("job_attempts");
-    settings.jobDue = from.time("job_due_ms");
+    settings.timeout = effective.time("timeout_ms");
+    settings.stallTimeout = effective.time("stall_timeout_ms");
+    settings.weight = effective.number("weight");
+    settings.requestsPerSecond = effective.number("requests_per_second");
+    settings.tokensPerSecond = effective.number("tokens_per_second");
+    settings.queueLimit = effective.count("queue_limit");
+    settings.retries = effective.count("retries");
+    settings.retryShare = effective.number("retry_share");
+    settings.continueBrokenStreams = effective.flag("continue_broken_streams");
+    settings.firstTokenObjective = effective.time("first_token_objective_ms");
+    settings.interTokenObjective = effective.time("inter_token_objective_ms");
+    settings.jobAttempts = effective.count("job_attempts");
+    settings.jobDue = effective.time("job_due_ms");
     settings.jobRetention
-        = std::chrono::seconds { static_cast<std::int64_t>(from.number("job_retention_s")) };
-    settings.bulk.policy = from.text("bulk_policy").value;
-    settings.bulk.window = from.count("bulk_window");
-    settings.bulk.reserve = from.number("bulk_reserve");
+        = std::chrono::seconds { static_cast<std::int64_t>(effective.number("job_retention_s")) };
+    settings.bulk.policy = effective.lookUp("bulk_policy").value;
+    settings.bulk.window = effective.count("bulk_window");
+    settings.bulk.reserve = effective.number("bulk_reserve");
     return settings;
 }
 
@@ -113,7 +114,7 @@
     const std::string path = "service/" + std::string(name);
     if (!tree.nodes.contains(path))
         return std::nullopt;
-    return service_settings { std::string(name), resolver(tree, path).text("kind").value == "model" };
+    return service_settings { std::string(name), resolver(tree, path).lookUp("kind").value == "model" };
 }
 
 std::vector<target_settings> listTargets(const settings_tree& tree)
@@ -123,17 +124,17 @@
         if (kindOfPath(path) != node_kind::target)
             continue;
         const auto parts = splitText(path, '/');
-        const resolver from(tree, path);
+        const resolver effective(tree, path);
         target_settings target;
         target.name = std::string(parts[3]);
         target.service = std::string(parts[1]);
-        target.zone = from.text("zone").value;
-        target.address = from.text("address").value;
-        target.drain = from.flag("drain");
-        target.slots = from.count("slots");
-        target.adapter = from.text("adapter").value;
-        target.modelVersion = from.text("model_version").value;
-        target.fencing = from.flag("fencing");
+        target.zone = effective.lookUp("zone").value;
+        target.address = effective.lookUp("address").value;
+        target.drain = effective.flag("drain");
+        target.slots = effective.count("slots");
+        target.adapter = effective.lookUp("adapter").value;
+        target.modelVersion = effective.lookUp("model_version").value;
+        target.fencing = effective.flag("fencing");
         targets.push_back(std::move(target));
     }
     return targets;
--- a/libs/settings/src/schema.cpp
+++ b/libs/settings/src/schema.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint8_t bits(std::initializer_list<node_kind> kinds)
+constexpr std::uint8_t kindMask(std::initializer_list<node_kind> kinds)
 {
     std::uint8_t all = 0;
     for (auto kind : kinds)
@@ -20,67 +20,68 @@
     return all;
 }
 
-constexpr auto callers = bits({ node_kind::fleet, node_kind::service, node_kind::customer,
+constexpr auto callerKinds = kindMask({ node_kind::fleet, node_kind::service, node_kind::customer,
     node_kind::customer_service, node_kind::job });
-constexpr auto perService = bits({ node_kind::fleet, node_kind::service });
-constexpr auto targetOnly = bits({ node_kind::target });
+constexpr auto serviceKinds = kindMask({ node_kind::fleet, node_kind::service });
+constexpr auto targetKind = kindMask({ node_kind::target });
 
-constexpr double day = 86400;
+constexpr double secondsPerDay = 86400;
 
 constexpr std::array keys {
-    key_description { "adapter", "text", "", 0, 0, "", targetOnly, "adapter the target keeps loaded" },
-    key_description { "address", "address", "", 0, 0, "", targetOnly, "host:port of the target" },
-    key_description { "api_key_sha256", "text", "", 0, 0, "", bits({ node_kind::customer }),
+    key_description { "adapter", "text", "", 0, 0, "", targetKind, "adapter the target keeps loaded" },
+    key_description { "address", "address", "", 0, 0, "", targetKind, "host:port of the target" },
+    key_description { "api_key_sha256", "text", "", 0, 0, "", kindMask({ node_kind::customer }),
         "SHA-256 of each key, separated by commas" },
-    key_description { "bulk_policy", "choice", "adaptive", 0, 0, "none|unlimited|fixed|adaptive", perService,
-        "how bulk work shares targets with live requests" },
-    key_description { "bulk_reserve", "number", "0.05", 0, 1, "", perService,
-        "least share of slots kept free for live arrivals" },
-    key_description { "bulk_window", "integer", "4", 0, 4096, "", perService,
-        "items at once per target under the fixed policy" },
-    key_description { "continue_broken_streams", "boolean", "true", 0, 0, "", callers,
-        "go on from the text already emitted when a stream breaks" },
-    key_description { "drain", "boolean", "false", 0, 0, "", targetOnly, "give the target no new work" },
-    key_description { "fencing", "boolean", "true", 0, 0, "", targetOnly,
-        "whether the target refuses orders with an old fencing number" },
-    key_description { "first_token_objective_ms", "integer", "610", 1, 600000, "", perService,
+    key_description { "bulk_policy", "choice", "adaptive", 0, 0, "none|unlimited|fixed|adaptive",
+        serviceKinds, "how bulk work shares targets with live requests" },
+    key_description { "bulk_reserve", "number", "0.05", 0, 1, "", serviceKinds,
+        "minimum fraction of slots kept free for arriving live requests" },
+    key_description { "bulk_window", "integer", "4", 0, 4096, "", serviceKinds,
+        "concurrent items per target under the fixed policy" },
+    key_description { "continue_broken_streams", "boolean", "true", 0, 0, "", callerKinds,
+        "continue from the text already sent when a stream breaks" },
+    key_description { "drain", "boolean", "false", 0, 0, "", targetKind, "send no new work to the target" },
+    key_description { "fencing", "boolean", "true", 0, 0, "", targetKind,
+        "whether the target rejects orders with an outdated fencing number" },
+    key_description { "first_token_objective_ms", "integer", "610", 1, 600000, "", serviceKinds,
         "objective for the time to first token" },
-    key_description { "inter_token_objective_ms", "integer", "49", 1, 60000, "", perService,
+    key_description { "inter_token_objective_ms", "integer", "49", 1, 60000, "", serviceKinds,
         "objective for the time between tokens" },
-    key_description { "job_attempts", "integer", "4", 1, 100, "", callers,
-        "attempts of one item before it ends as failed" },
-    key_description { "job_due_ms", "integer", "3600000", 1000, 30 * day * 1000, "", callers,
-        "due time of a job that names none, after its submission" },
-    key_description { "job_retention_s", "integer", "86400", 1, 365 * day, "", callers,
-        "time for which results stay readable after the job's end" },
-    key_description { "kind", "choice", "model", 0, 0, "model|plain", bits({ node_kind::service }),
+    key_description { "job_attempts", "integer", "4", 1, 100, "", callerKinds,
+        "attempts of one item before it is marked as failed" },
+    key_description { "job_due_ms", "integer", "3600000", 1000, 30 * secondsPerDay * 1000, "", callerKinds,
+        "time from submission to the due time of a job that names none" },
+    key_description { "job_retention_s", "integer", "86400", 1, 365 * secondsPerDay, "", callerKinds,
+        "time for which results stay readable after the job has ended" },
+    key_description { "kind", "choice", "model", 0, 0, "model|plain", kindMask({ node_kind::service }),
         "model engines or a plain service" },
-    key_description { "model_version", "text", "", 0, 0, "", targetOnly, "model version the target serves" },
-    key_description { "queue_limit", "integer", "1000", 0, 1000000, "", callers,
+    key_description { "model_version", "text", "", 0, 0, "", targetKind, "model version the target serves" },
+    key_description { "queue_limit", "integer", "1000", 0, 1000000, "", callerKinds,
         "requests of one customer that may wait at one target group" },
-    key_description { "queue_order", "choice", "fair", 0, 0, "fair|arrival", perService,
-        "fair over customers, or first in first out" },
-    key_description { "requests_per_second", "number", "0", 0, 1e6, "", callers,
+    key_description { "queue_order", "choice", "fair", 0, 0, "fair|arrival", serviceKinds,
+        "fair queuing across customers, or first in, first out" },
+    key_description { "requests_per_second", "number", "0", 0, 1e6, "", callerKinds,
         "limit per customer and entry VM; 0 for none" },
-    key_description { "retries", "integer", "2", 0, 10, "", callers, "further attempts of one request" },
+    key_description { "retries", "integer", "2", 0, 10, "", callerKinds, "further attempts of one request" },
     key_description {
-        "retry_share", "number", "0.1", 0, 1, "", callers, "retries as a share of recent requests" },
-    key_description { "scope", "text", "", 0, 0, "", bits({ node_kind::operator_account }),
-        "path that the operator may edit, with all below it; empty for everything" },
-    key_description { "slots", "integer", "8", 1, 4096, "", targetOnly, "requests the target runs at once" },
-    key_description { "stall_timeout_ms", "integer", "5000", 10, 3600000, "", callers,
-        "longest silence of a target in a running request" },
-    key_description { "target_choice", "choice", "affinity", 0, 0, "affinity|random", perService,
-        "by load and cached prefixes, or at random among targets with room" },
+        "retry_share", "number", "0.1", 0, 1, "", callerKinds, "retries as a share of recent requests" },
+    key_description { "scope", "text", "", 0, 0, "", kindMask({ node_kind::operator_account }),
+        "path of the subtree that the operator may edit; empty for the whole tree" },
     key_description {
-        "timeout_ms", "integer", "30000", 1, 3600000, "", callers, "timeout of a request that names none" },
-    key_description { "token_sha256", "text", "", 0, 0, "", bits({ node_kind::operator_account }),
+        "slots", "integer", "8", 1, 4096, "", targetKind, "requests the target runs concurrently" },
+    key_description { "stall_timeout_ms", "integer", "5000", 10, 3600000, "", callerKinds,
+        "maximum time without data from a target during a running request" },
+    key_description { "target_choice", "choice", "affinity", 0, 0, "affinity|random", serviceKinds,
+        "by load and cached prefixes, or at random among targets with free slots" },
+    key_description { "timeout_ms", "integer", "30000", 1, 3600000, "", callerKinds,
+        "timeout of a request that names none" },
+    key_description { "token_sha256", "text", "", 0, 0, "", kindMask({ node_kind::operator_account }),
         "SHA-256 of the operator's token" },
-    key_description { "tokens_per_second", "number", "0", 0, 1e9, "", callers,
+    key_description { "tokens_per_second", "number", "0", 0, 1e9, "", callerKinds,
         "limit per customer and entry VM; 0 for none" },
-    key_description { "weight", "number", "1", 0.001, 1000, "", callers,
-        "share under contention, relative to other customers" },
-    key_description { "zone", "text", "", 0, 0, "", targetOnly, "availability zone of the target" },
+    key_description { "weight", "number", "1", 0.001, 1000, "", callerKinds,
+        "relative share of capacity under contention, compared to other customers" },
+    key_description { "zone", "text", "", 0, 0, "", targetKind, "availability zone of the target" },
 };
 
 const key_description* findKey(std::string_view name)
@@ -123,8 +124,8 @@
         return "is not a number";
     if (key.type == "integer" && value.find_first_of(".eE") != std::string_view::npos)
         return "is not a whole number";
-    if (!(number >= key.least && number <= key.most))
-        return "is not between " + shortNumber(key.least) + " and " + shortNumber(key.most);
+    if (!(number >= key.minimum && number <= key.maximum))
+        return "is not between " + formatNumber(key.minimum) + " and " + formatNumber(key.maximum);
     return {};
 }
 
@@ -152,15 +153,15 @@
     if (key.type == "choice") {
         const auto words = splitText(key.choices, '|');
         if (std::find(words.begin(), words.end(), value) == words.end())
-            return "is none of " + std::string(key.choices);
+            return "is not one of " + std::string(key.choices);
     }
     for (auto part : splitText(value, ',')) {
-        if (part.size() >= mostIniPartBytes)
-            return "has a part of " + std::to_string(mostIniPartBytes)
-                + " characters or more without a comma, which INI cannot keep";
+        if (part.size() >= maxIniPartBytes)
+            return "has " + std::to_string(maxIniPartBytes)
+                + " or more characters without a comma, which is too long for a line of an INI file";
     }
     if (value.find_first_of("\r\n;") != std::string_view::npos)
-        return "holds a line break or semicolon, which INI cannot keep";
+        return "contains a line break or semicolon, which cannot be stored in an INI file";
     if (key.name.ends_with("_sha256")) {
         for (auto hash : splitText(value, ',')) {
             if (hash.size() != 64 || hash.find_first_not_of("0123456789abcdef") != std::string_view::npos)
@@ -207,13 +208,13 @@
     const auto kind = kindOfPath(path);
     if (!kind)
         return notRun(failure_kind::bad_request, '[' + std::string(path) + "]: not a path of the tree");
-    const auto* known = findKey(key);
-    if (!known)
+    const auto* description = findKey(key);
+    if (!description)
         return notRun(failure_kind::bad_request,
             where + "unknown key; did you mean " + std::string(nearestKey(key)) + '?');
-    if (!(known->kinds & static_cast<std::uint8_t>(*kind)))
-        return notRun(failure_kind::bad_request, where + "this key does not belong at this kind of node");
-    if (const auto problem = checkType(*known, value); !problem.empty())
+    if (!(description->kinds & static_cast<std::uint8_t>(*kind)))
+        return notRun(failure_kind::bad_request, where + "this key is not allowed at this kind of node");
+    if (const auto problem = checkType(*description, value); !problem.empty())
         return notRun(failure_kind::bad_request, where + '"' + std::string(value) + "\" " + problem);
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
--- a/libs/settings/src/text.h
+++ b/libs/settings/src/text.h
@@ -4,10 +4,9 @@
 #include <string_view>
 #include <vector>
 
-/// Text helpers of this library.
 namespace yuccachute {
 
-/// Splits at each separator; an empty text gives one empty part.
+/// Splits text at each separator. Returns one empty part for empty text.
 inline std::vector<std::string_view> splitText(std::string_view text, char separator)
 {
     std::vector<std::string_view> parts;
@@ -21,7 +20,7 @@
 }
 
 /// Prints a number without trailing zeros.
-inline std::string shortNumber(double value)
+inline std::string formatNumber(double value)
 {
     auto text = std::to_string(value);
     text.erase(text.find_last_not_of('0') + 1);
--- a/libs/settings/src/tree.cpp
+++ b/libs/settings/src/tree.cpp
@@ -9,11 +9,11 @@
 std::string describeNode(const settings_node* node)
 {
     if (!node)
-        return "(no such node)";
+        return "missing";
     std::string text;
     for (const auto& [key, value] : node->values)
         text += (text.empty() ? "" : ", ") + key + " = " + value;
-    return "revision " + std::to_string(node->revision) + ": " + (text.empty() ? "(empty)" : text);
+    return "at revision " + std::to_string(node->revision) + ": " + (text.empty() ? "(empty)" : text);
 }
 
 std::string describeEdit(const settings_edit& edit)
@@ -28,7 +28,7 @@
     return text;
 }
 
-result<void> checkBase(const settings_tree& tree, const settings_edit& edit)
+result<void> checkBaseRevision(const settings_tree& tree, const settings_edit& edit)
 {
     const auto found = tree.nodes.find(edit.path);
     const auto* current = found == tree.nodes.end() ? nullptr : &found->second;
@@ -36,8 +36,9 @@
     if (!edit.base || *edit.base == revision)
         return BOOST_OUTCOME_V2_NAMESPACE::success();
     return notRun(failure_kind::conflict,
-        '[' + edit.path + "]: changed since it was read. Made against revision " + std::to_string(*edit.base)
-            + "; now " + describeNode(current) + ". Wanted: " + describeEdit(edit));
+        '[' + edit.path + "]: changed since it was read. The edit is based on revision "
+            + std::to_string(*edit.base) + "; the node is now " + describeNode(current)
+            + ". Requested: " + describeEdit(edit));
 }
 
 result<void> checkReferences(const settings_tree& tree)
@@ -69,7 +70,7 @@
 {
     if (!kindOfPath(edit.path))
         return notRun(failure_kind::bad_request, '[' + edit.path + "]: not a path of the tree");
-    BOOST_OUTCOME_TRYV(checkBase(tree, edit));
+    BOOST_OUTCOME_TRYV(checkBaseRevision(tree, edit));
     if (edit.removeNode) {
         if (tree.nodes.erase(edit.path) == 0)
             return notRun(failure_kind::not_found, '[' + edit.path + "]: there is no such node");
@@ -82,7 +83,8 @@
     }
     for (const auto& key : edit.unset) {
         if (node.values.erase(key) == 0)
-            return notRun(failure_kind::not_found, '[' + edit.path + "] " + key + ": is not set here");
+            return notRun(failure_kind::not_found,
+                '[' + edit.path + "] " + key + ": cannot be unset because it is not set at this node");
     }
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
@@ -122,8 +124,8 @@
         return std::move(update.changed);
     if (update.basedOn != tree.version)
         return notRun(failure_kind::conflict,
-            "the update leads from version " + std::to_string(update.basedOn) + ", not from "
-                + std::to_string(tree.version));
+            "the update is based on version " + std::to_string(update.basedOn)
+                + ", but the current version is " + std::to_string(tree.version));
     settings_tree updated = tree;
     updated.version = update.changed.version;
     for (const auto& path : update.removed)
--- a/libs/settings/tests/test_settings.cpp
+++ b/libs/settings/tests/test_settings.cpp
@@ -58,17 +58,17 @@
     CHECK(origin.source == "service/screening");
 }
 
-TEST_CASE("the tree survives its INI form")
+TEST_CASE("the tree is unchanged after a round trip through INI text")
 {
     const auto tree = sampleTree();
     const auto edits = readIni("again.ini", writeIni(tree));
     REQUIRE(edits);
-    const auto again = applyEdits({}, edits.value());
-    REQUIRE(again);
-    CHECK(writeIni(again.value()) == writeIni(tree));
+    const auto reread = applyEdits({}, edits.value());
+    REQUIRE(reread);
+    CHECK(writeIni(reread.value()) == writeIni(tree));
 }
 
-TEST_CASE("a wrong key or value is refused with file, line, key and the nearest key")
+TEST_CASE("the error for an invalid key or value names file, line and key and suggests the nearest key")
 {
     CHECK(iniError("[fleet]\nweight = 1\ntimeout_sm = 5\n")
         == "bad.ini:3: [fleet] timeout_sm: unknown key; did you mean timeout_ms?");
@@ -80,7 +80,8 @@
     CHECK(iniError("[fleet]\ntimeout_ms\n") == "bad.ini:2: neither [section] nor key = value");
     CHECK(iniError("[fleet]\ntimeout_ms = 5\ntimeout_ms = 6\n").find("bad.ini:3:") == 0);
     CHECK(iniError("[planet]\nweight = 1\n") == "bad.ini:2: [planet]: not a path of the tree");
-    CHECK(iniError("[fleet]\naddress = 1.2.3.4:5\n").find("does not belong") != std::string::npos);
+    CHECK(iniError("[fleet]\naddress = 1.2.3.4:5\n").find("is not allowed at this kind of node")
+        != std::string::npos);
     CHECK(iniError("[service/x/target/t]\naddress = 1.2.3.4:5\nzone = a\n").find("there is no [service/x]")
         != std::string::npos);
     CHECK(
@@ -91,9 +92,11 @@
         == 0);
 }
 
-// Story: two operators read the same node, each changes it, and the second one's edit silently undoes the
-// first one's. The edit must name the revision it was made against, and the loser must see both sides.
-TEST_CASE("an edit against an old revision is a conflict that shows both sides")
+// Guards against lost updates: two operators read the same node and both change it, and the second edit
+// silently reverts the first. The second edit must fail, and the message must show the current values and the
+// edit.
+TEST_CASE(
+    "an edit based on an outdated revision fails with a conflict that shows the current node and the edit")
 {
     auto tree = sampleTree();
     tree.nodes.at("customer/armor").revision = 7;
@@ -102,12 +105,12 @@
     REQUIRE(!refused);
     CHECK(refused.error().kind == failure_kind::conflict);
     CHECK(refused.error().message.find("weight = 2.5") != std::string::npos);
-    CHECK(refused.error().message.find("Wanted: weight = 3") != std::string::npos);
+    CHECK(refused.error().message.find("Requested: weight = 3") != std::string::npos);
     edit.base = 7;
     CHECK(applyEdits(tree, std::span(&edit, 1)));
 }
 
-TEST_CASE("keys and tokens are found by hash alone")
+TEST_CASE("API keys and operator tokens are looked up by hash")
 {
     auto tree = sampleTree();
     const std::string hash = sha256Hex("secret");
@@ -125,8 +128,8 @@
     CHECK(!scopeCovers("customer/armor", "fleet"));
 }
 
-// Story: an edit removes a customer; entries that take over only what changed keep the customer's key valid.
-TEST_CASE("what leads from one version to another includes what is gone, and applies to that version only")
+// Guards against a removed customer whose API key stays valid in entries that apply incremental updates only.
+TEST_CASE("an update includes removed nodes and applies only to the version on which it is based")
 {
     auto before = sampleTree();
     before.version = 10;
