--- a/libs/process_settings/include/process_settings/process_settings.h
+++ b/libs/process_settings/include/process_settings/process_settings.h
@@ -7,67 +7,70 @@
 #include <string_view>
 #include <vector>
 
-/// The INI file of a process that runs on a platform's VM. Layer: state.
+/// Settings that a process reads from its INI file at startup. Layer: state.
 namespace yuccachute {
 
-/// How an entry gives places to requests. Each mechanism can be switched off, to measure what it is worth.
-/// Figures with "model" are from libs/load_player.
+/// How an entry assigns slots of targets to requests. Each mechanism can be disabled to measure its effect.
+/// The simulation results quoted here are from libs/load_player.
 struct dispatch_settings {
-    /// Targets are asked what they run. Without: 884 instead of 29 of 3,003 callers late in the model when
-    /// work is orphaned twice.
+    /// Whether targets are polled for the requests that they are running. In a simulation in which running
+    /// requests were orphaned twice, 884 of 3,003 callers were served late without polling, and 29 with it.
     bool loadReports = true;
-    /// A request joins a queue only if this part of the expected wait is short enough. A dispatcher of six
-    /// targets sees a slot come free every 20 ms or so; the sum of the eight waits that fill 150 ms exceeds
-    /// the mean by 70% in one case of twenty.
+    /// Factor on the expected wait: a request is refused on arrival if the product exceeds its remaining
+    /// time. With six targets per dispatcher, a slot becomes free about every 20 ms; the sum of the eight
+    /// intervals that make up 150 ms exceeds its mean by 70% in one case out of twenty.
     unsigned waitMarginPercent = 170;
-    /// A slot that a live request has left is kept for the next one for so long. Of 0, 20, 50, 100, 150 and
-    /// 250 ms the one with the most answers and items on time in the model: with 30 live requests and 7 items
-    /// a second on 48 slots 3,621 of 4,140 answers and 699 of 925 items, instead of 3,575 and 680 at 0.
+    /// How long a slot stays reserved for the next live request after a live request has finished. Of 0, 20,
+    /// 50, 100, 150 and 250 ms, 50 ms gave the most live responses and bulk items on time in a simulation
+    /// with 30 live requests and 7 items per second on 48 slots: 3,621 of 4,140 responses and 699 of 925
+    /// items, compared to 3,575 and 680 without reservation.
     milliseconds keptForLive { 50 };
-    /// What a cached prompt is worth at the choice of a target, in shares of its slots.
+    /// Weight of a fully cached prompt in the choice of a target: it offsets this percentage of occupied
+    /// slots.
     unsigned affinityPercent = 60;
 };
 
-/// How customers' limits are held. What is allowed of a customer in any span of `window` is
-/// (rate x window + burst) x (1 + overshoot) + slack requests.
+/// How customers' request limits are enforced. In any time span of `windowSeconds`, a customer is granted at
+/// most (rate x windowSeconds + burst) x (1 + overshoot) + slack requests.
 struct limit_settings {
     double windowSeconds = 5;
-    double overshoot = 0.1; ///< As a share.
-    double slack = 20; ///< Requests.
-    std::string policy = "lent"; ///< "lent", or "even": each availability zone has the same part.
+    double overshoot = 0.1; ///< As a fraction of the limit.
+    double slack = 20; ///< In requests.
+    /// "lent": availability zones lend each other unused shares. "even": each zone has a fixed, equal share.
+    std::string policy = "lent";
 };
 
-/// What a process learns at its start. All addresses are host:port.
+/// Startup settings of a process. All addresses but `address` are host:port.
 struct process_settings {
     std::string vm; ///< Unique name of the VM.
     std::string zone; ///< Availability zone.
     std::string address; ///< IP address of the VM.
 
-    std::string callers; ///< Where callers connect; empty for a process without any.
-    std::string readiness; ///< Where the platform asks whether the process is ready.
-    std::string control; ///< Where entries listen for the system's other processes.
-    std::uint16_t innerPort = 0; ///< Where a batch process listens for entries.
-    std::uint16_t metricsPort = 0; ///< 0 for none.
-    std::vector<std::string> seeds; ///< Control addresses of some entries; they may be stale.
+    std::string callers; ///< Listen address for callers; empty for a process that serves none.
+    std::string readiness; ///< Listen address for the platform's readiness probe.
+    std::string control; ///< Listen address of an entry for the system's other processes.
+    std::uint16_t innerPort = 0; ///< Port on which a batch process listens for entries.
+    std::uint16_t metricsPort = 0; ///< Port on which metrics are served; 0 for none.
+    std::vector<std::string> seeds; ///< Control addresses of some entries, possibly outdated.
 
-    std::string store; ///< The platform's store.
-    std::size_t storeValueBytes = 1u << 20; ///< Largest value that it takes.
+    std::string store; ///< Address of the platform's key-value service.
+    std::size_t storeValueBytes = 1u << 20; ///< Maximum size of a value that the store accepts.
 
-    unsigned descriptors = 1024; ///< Files and sockets that it may have open.
-    double cores = 1; ///< Processor time that the VM offers, in cores; may be a fraction.
+    unsigned descriptors = 1024; ///< Limit of open file descriptors, including sockets.
+    double cores = 1; ///< CPU capacity of the VM in cores; may be fractional.
 
     dispatch_settings dispatch;
     limit_settings customerLimits;
-    /// Entries beyond the first of a zone ask these instead of following the store.
+    /// Whether only some entries of a zone watch the store and the others get their updates from them.
     bool followPeers = true;
 
-    milliseconds grace { 8000 }; ///< From the stop signal to the end of the process.
-    milliseconds resultRetention { 120000 }; ///< Of a batch job's records, from its submission.
+    milliseconds grace { 8000 }; ///< Maximum time from the stop signal to the exit of the process.
+    milliseconds resultRetention { 120000 }; ///< Retention of a batch job's records, from its submission.
     std::string logLevel = "info";
 };
 
-/// Parses the file's text. The failure names file, line, section and key: an unknown section or key, a value
-/// that is out of its range, or a required one that is missing.
+/// Parses the text of the file. Fails on an unknown section or key, a value out of range and a missing
+/// required key. The error names the file, section and key, and the line unless the key is missing.
 result<process_settings> parseProcessSettings(std::string_view fileName, std::string_view text);
 
 } // namespace yuccachute
--- a/libs/process_settings/src/process_settings.cpp
+++ b/libs/process_settings/src/process_settings.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// Takes a value; returns what is wrong with it, or an empty string.
-using setter = std::function<std::string(process_settings&, const std::string&)>;
+/// Parses a value and stores it in the settings. Returns an error message, or an empty string on success.
+using value_setter = std::function<std::string(process_settings&, const std::string&)>;
 
 struct key_rule {
-    setter set;
+    value_setter set;
     bool required = true;
 };
 
@@ -33,7 +33,7 @@
     return parsed.ec == std::errc() && parsed.ptr == end && port != 0;
 }
 
-setter text(std::string process_settings::*field)
+value_setter text(std::string process_settings::*field)
 {
     return [field](process_settings& settings, const std::string& value) {
         settings.*field = value;
@@ -41,7 +41,7 @@
     };
 }
 
-setter address(std::string process_settings::*field)
+value_setter address(std::string process_settings::*field)
 {
     return [field](process_settings& settings, const std::string& value) {
         settings.*field = value;
@@ -49,54 +49,54 @@
     };
 }
 
-setter number(
-    std::uint64_t least, std::uint64_t most, std::function<void(process_settings&, std::uint64_t)> store)
+value_setter number(
+    std::uint64_t minimum, std::uint64_t maximum, std::function<void(process_settings&, std::uint64_t)> store)
 {
     return [=](process_settings& settings, const std::string& value) {
         std::uint64_t parsedValue = 0;
         const char* end = value.data() + value.size();
         const auto parsed = std::from_chars(value.data(), end, parsedValue);
-        if (parsed.ec != std::errc() || parsed.ptr != end || parsedValue < least || parsedValue > most)
-            return '"' + value + "\" is not a whole number from " + std::to_string(least) + " to "
-                + std::to_string(most);
+        if (parsed.ec != std::errc() || parsed.ptr != end || parsedValue < minimum || parsedValue > maximum)
+            return '"' + value + "\" is not a whole number from " + std::to_string(minimum) + " to "
+                + std::to_string(maximum);
         store(settings, parsedValue);
         return std::string();
     };
 }
 
-setter decimal(double least, double most, double process_settings::*field)
+value_setter decimal(double minimum, double maximum, double process_settings::*field)
 {
     return [=](process_settings& settings, const std::string& value) {
         const char* end = value.data() + value.size();
         const auto parsed = std::from_chars(value.data(), end, settings.*field);
-        if (parsed.ec != std::errc() || parsed.ptr != end || settings.*field < least
-            || settings.*field > most)
-            return '"' + value + "\" is not a number from " + std::to_string(least) + " to "
-                + std::to_string(most);
+        if (parsed.ec != std::errc() || parsed.ptr != end || settings.*field < minimum
+            || settings.*field > maximum)
+            return '"' + value + "\" is not a number from " + std::to_string(minimum) + " to "
+                + std::to_string(maximum);
         return std::string();
     };
 }
 
-setter limitDecimal(double least, double most, double limit_settings::*field)
+value_setter limitDecimal(double minimum, double maximum, double limit_settings::*field)
 {
     return [=](process_settings& settings, const std::string& value) {
         process_settings parsed;
-        const auto problem = decimal(least, most, &process_settings::cores)(parsed, value);
+        const auto problem = decimal(minimum, maximum, &process_settings::cores)(parsed, value);
         settings.customerLimits.*field = parsed.cores;
         return problem;
     };
 }
 
-setter limitPolicy()
+value_setter limitPolicy()
 {
     return [](process_settings& settings, const std::string& value) {
         settings.customerLimits.policy = value;
         const bool known = value == "lent" || value == "even";
-        return known ? std::string() : '"' + value + "\" is none of lent, even";
+        return known ? std::string() : '"' + value + "\" is not one of lent, even";
     };
 }
 
-setter addressList(std::vector<std::string> process_settings::*field)
+value_setter addressList(std::vector<std::string> process_settings::*field)
 {
     return [field](process_settings& settings, const std::string& value) {
         std::stringstream stream(value);
@@ -109,7 +109,7 @@
     };
 }
 
-setter oneOf(std::string process_settings::*field, std::vector<std::string> choices)
+value_setter oneOf(std::string process_settings::*field, std::vector<std::string> choices)
 {
     return [=](process_settings& settings, const std::string& value) {
         settings.*field = value;
@@ -119,15 +119,15 @@
                 return std::string();
             known += (known.empty() ? "" : ", ") + choice;
         }
-        return '"' + value + "\" is none of " + known;
+        return '"' + value + "\" is not one of " + known;
     };
 }
 
-/// Rules by "section.key".
+/// All keys, as "section.key".
 const rule_map& rules()
 {
-    constexpr std::uint64_t mostPort = 65535;
-    constexpr std::uint64_t mostMs = 86400000;
+    constexpr std::uint64_t maxPort = 65535;
+    constexpr std::uint64_t maxMs = 86400000;
     static const rule_map all {
         { "process.vm", { text(&process_settings::vm) } },
         { "process.zone", { text(&process_settings::zone) } },
@@ -135,20 +135,20 @@
         { "process.log_level",
             { oneOf(&process_settings::logLevel, { "debug", "info", "warning", "error" }), false } },
         { "process.grace_ms",
-            { number(100, mostMs, [](auto& s, auto value) { s.grace = milliseconds { value }; }) } },
+            { number(100, maxMs, [](auto& s, auto value) { s.grace = milliseconds { value }; }) } },
         { "process.result_retention_ms",
-            { number(1000, mostMs, [](auto& s, auto value) { s.resultRetention = milliseconds { value }; }),
+            { number(1000, maxMs, [](auto& s, auto value) { s.resultRetention = milliseconds { value }; }),
                 false } },
         { "listen.callers", { address(&process_settings::callers), false } },
         { "listen.readiness", { address(&process_settings::readiness), false } },
         { "listen.control", { address(&process_settings::control), false } },
         { "listen.inner_port",
             { number(
-                  1, mostPort, [](auto& s, auto value) { s.innerPort = static_cast<std::uint16_t>(value); }),
+                  1, maxPort, [](auto& s, auto value) { s.innerPort = static_cast<std::uint16_t>(value); }),
                 false } },
         { "listen.metrics_port",
-            { number(1, mostPort,
-                  [](auto& s, auto value) { s.metricsPort = static_cast<std::uint16_t>(value); }),
+            { number(
+                  1, maxPort, [](auto& s, auto value) { s.metricsPort = static_cast<std::uint16_t>(value); }),
                 false } },
         { "peers.seeds", { addressList(&process_settings::seeds), false } },
         { "store.address", { address(&process_settings::store) } },
@@ -180,7 +180,7 @@
     return all;
 }
 
-failure bad(std::string message)
+failure invalidSettings(std::string message)
 {
     return notRun(failure_kind::bad_request, std::move(message));
 }
@@ -198,14 +198,14 @@
             + "] " + value.key + ": ";
         const auto rule = rules().find(name);
         if (rule == rules().end())
-            return bad(where + "unknown key");
+            return invalidSettings(where + "unknown key");
         if (const auto problem = rule->second.set(settings, value.value); !problem.empty())
-            return bad(where + problem);
+            return invalidSettings(where + problem);
         seen[name] = true;
     }
     for (const auto& [name, rule] : rules()) {
         if (rule.required && !seen.contains(name))
-            return bad(std::string(fileName) + ": [" + name.substr(0, name.find('.')) + "] "
+            return invalidSettings(std::string(fileName) + ": [" + name.substr(0, name.find('.')) + "] "
                 + name.substr(name.find('.') + 1) + ": is missing");
     }
     return settings;
