--- a/libs/http/src/blocking_client.cpp
+++ b/libs/http/src/blocking_client.cpp
@@ -8,7 +8,7 @@
 
 constexpr milliseconds abandonPollInterval { 20 };
 
-/// One call that is driven by a loop on the calling thread.
+/// Runs one call to completion by running the event loop on the calling thread.
 class blocking_call {
 public:
     blocking_call(event_loop& loop, http_client& client)
@@ -20,10 +20,10 @@
     result<http_reply> run(
         std::string_view address, const http_request& request, const http_call_options& options)
     {
-        client_call_options how;
-        how.deadline = options.deadline;
-        how.connectTimeout = options.connectTimeout;
-        how.idleTimeout = options.idleTimeout;
+        client_call_options callOptions;
+        callOptions.deadline = options.deadline;
+        callOptions.connectTimeout = options.connectTimeout;
+        callOptions.idleTimeout = options.idleTimeout;
         client_call_events events;
         events.head = [&](const http_reply& head) {
             m_reply = head;
@@ -40,16 +40,16 @@
             m_error = error;
             m_done = true;
         };
-        const auto call = m_client.start(address, request, how, std::move(events));
+        const auto call = m_client.start(address, request, callOptions, std::move(events));
         while (!m_done) {
             if (options.abandon && options.abandon->load(std::memory_order_relaxed)) {
                 call->cancel();
-                return mayHaveRun(failure_kind::cancelled, "the call was abandoned");
+                return mayHaveRun(failure_kind::cancelled, "the caller cancelled the call");
             }
             m_loop.runFor(abandonPollInterval);
         }
-        if (m_error && m_refused)
-            return mayHaveRun(failure_kind::cancelled, "the answer was refused by its receiver");
+        if (m_error && m_rejectedByCallback)
+            return mayHaveRun(failure_kind::cancelled, "the receiver of the response rejected it");
         if (m_error)
             return *m_error;
         return std::move(m_reply);
@@ -58,7 +58,7 @@
 private:
     bool accept(bool accepted)
     {
-        m_refused = m_refused || !accepted;
+        m_rejectedByCallback = m_rejectedByCallback || !accepted;
         return accepted;
     }
 
@@ -66,7 +66,7 @@
     http_client& m_client;
     http_reply m_reply;
     std::optional<failure> m_error;
-    bool m_refused = false;
+    bool m_rejectedByCallback = false;
     bool m_done = false;
 };
 
--- a/libs/http/src/blocking_server.cpp
+++ b/libs/http/src/blocking_server.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// A handler that writes faster than its caller reads waits beyond this.
-constexpr std::size_t mostUnsentBytes = 1u << 20;
+/// Backpressure limit: a handler that writes faster than its caller reads blocks above it.
+constexpr std::size_t maxUnsentBytes = 1u << 20;
 constexpr milliseconds drainPollInterval { 5 };
 
-/// What the loop's thread and a handler's thread share of one request.
+/// State of one request that the loop thread and a worker thread share.
 struct shared_exchange {
     std::shared_ptr<http_exchange> exchange; ///< Used on the loop's thread only.
     std::atomic<bool> gone { false };
     std::atomic<std::size_t> unsent { 0 };
 };
 
-/// Carries a handler's answer to the loop's thread.
-class posting_sink final : public reply_sink {
+/// Forwards the calls of a blocking handler to the loop's thread.
+class loop_reply_sink final : public reply_sink {
 public:
-    posting_sink(event_loop& loop, std::shared_ptr<shared_exchange> shared)
+    loop_reply_sink(event_loop& loop, std::shared_ptr<shared_exchange> shared)
         : m_loop(loop)
         , m_shared(std::move(shared))
     {
@@ -44,7 +44,7 @@
 
     bool write(std::string_view chunk) override
     {
-        while (m_shared->unsent > mostUnsentBytes && !m_shared->gone) {
+        while (m_shared->unsent > maxUnsentBytes && !m_shared->gone) {
             std::this_thread::sleep_for(drainPollInterval);
             post([](http_exchange&) {});
         }
@@ -78,16 +78,16 @@
         : handler(std::move(given))
         , maxThreads(options.maxThreads)
     {
-        http_listener_options how;
-        how.address = options.address;
-        how.port = options.port;
-        how.limits.maxBodyBytes = options.maxBodyBytes;
-        how.limits.headerTimeout = options.readTimeout;
-        how.limits.idleTimeout = options.keepAliveTimeout;
-        how.certificateFile = options.certificateFile;
-        how.privateKeyFile = options.privateKeyFile;
-        listener = std::make_unique<http_listener>(
-            loop, how, [this](std::shared_ptr<http_exchange> exchange) { enqueue(std::move(exchange)); });
+        http_listener_options listenerOptions;
+        listenerOptions.address = options.address;
+        listenerOptions.port = options.port;
+        listenerOptions.limits.maxBodyBytes = options.maxBodyBytes;
+        listenerOptions.limits.headerTimeout = options.readTimeout;
+        listenerOptions.limits.idleTimeout = options.keepAliveTimeout;
+        listenerOptions.certificateFile = options.certificateFile;
+        listenerOptions.privateKeyFile = options.privateKeyFile;
+        listener = std::make_unique<http_listener>(loop, listenerOptions,
+            [this](std::shared_ptr<http_exchange> exchange) { enqueue(std::move(exchange)); });
         thread = std::thread([this] { loop.run(); });
     }
 
@@ -100,7 +100,7 @@
         changed.notify_all();
         for (auto& worker : workers)
             worker.join();
-        loop.post([this] { loop.stop(); }); // After the answers that were posted before.
+        loop.post([this] { loop.stop(); }); // Runs after the output that was posted before.
         thread.join();
     }
 
@@ -133,9 +133,9 @@
             const auto shared = std::move(queue.front());
             queue.pop_front();
             lock.unlock();
-            posting_sink sink(loop, shared);
+            loop_reply_sink sink(loop, shared);
             handler(shared->exchange->request(), sink);
-            // The exchange ends on the loop's thread, after the steps of its answer.
+            // Released on the loop's thread, after the output that was posted before.
             loop.post([shared] { shared->exchange.reset(); });
             lock.lock();
         }
--- a/libs/http/src/byte_stream.cpp
+++ b/libs/http/src/byte_stream.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// Longer than a retransmission over a lossy link takes, shorter than callers wait.
-constexpr int unacknowledgedMs = 5000;
-constexpr int probeAfterIdleSeconds = 2;
-constexpr int probeIntervalSeconds = 1;
-constexpr int mostProbes = 3;
+/// Longer than retransmissions over a lossy link take, and shorter than the timeouts of callers.
+constexpr int userTimeoutMs = 5000;
+constexpr int keepaliveIdleSeconds = 2;
+constexpr int keepaliveIntervalSeconds = 1;
+constexpr int maxKeepaliveProbes = 3;
 
 class plain_stream final : public byte_stream {
 public:
@@ -42,13 +42,13 @@
 
     void finishSending() override
     {
-        boost::system::error_code ignored; // The peer may have gone already.
+        boost::system::error_code ignored; // The peer may have closed the connection already.
         m_socket.shutdown(tcp::socket::shutdown_send, ignored);
     }
 
     void close() override
     {
-        boost::system::error_code ignored; // Nothing can be done about a failed close.
+        boost::system::error_code ignored; // A failed close cannot be handled.
         m_socket.close(ignored);
     }
 
@@ -80,13 +80,13 @@
 
     void finishSending() override
     {
-        boost::system::error_code ignored; // As for a plain stream.
+        boost::system::error_code ignored; // Ignored for the same reason as in plain_stream.
         m_stream.next_layer().shutdown(tcp::socket::shutdown_send, ignored);
     }
 
     void close() override
     {
-        boost::system::error_code ignored; // As for a plain stream.
+        boost::system::error_code ignored; // Ignored for the same reason as in plain_stream.
         m_stream.next_layer().close(ignored);
     }
 
@@ -108,16 +108,16 @@
 
 void setSocketOptions(tcp::socket& socket)
 {
-    boost::system::error_code ignored; // A connection without these options still works.
+    boost::system::error_code ignored; // The connection works without these options.
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
     const auto set = [&](int option, int value) {
         ::setsockopt(socket.native_handle(), IPPROTO_TCP, option, &value, sizeof value);
     };
-    set(TCP_USER_TIMEOUT, unacknowledgedMs);
-    set(TCP_KEEPIDLE, probeAfterIdleSeconds);
-    set(TCP_KEEPINTVL, probeIntervalSeconds);
-    set(TCP_KEEPCNT, mostProbes);
+    set(TCP_USER_TIMEOUT, userTimeoutMs);
+    set(TCP_KEEPIDLE, keepaliveIdleSeconds);
+    set(TCP_KEEPINTVL, keepaliveIntervalSeconds);
+    set(TCP_KEEPCNT, maxKeepaliveProbes);
 }
 
 tcp::endpoint parseEndpoint(std::string_view address, boost::system::error_code& error)
--- a/libs/http/src/byte_stream.h
+++ b/libs/http/src/byte_stream.h
@@ -12,18 +12,18 @@
 
 namespace yuccachute {
 
-/// A connection, plain or with TLS. The buffers must live until the handler is called.
+/// TCP connection, plain or with TLS. Buffers must stay valid until the handler is called.
 class byte_stream {
 public:
     using transfer_handler = std::function<void(const boost::system::error_code&, std::size_t)>;
     using done_handler = std::function<void(const boost::system::error_code&)>;
 
     virtual ~byte_stream() = default;
-    /// Server side of the TLS handshake; a plain stream is ready at once.
+    /// Performs the server side of the TLS handshake. On a plain stream the handler runs immediately.
     virtual void accept(done_handler done) = 0;
     virtual void readSome(boost::asio::mutable_buffer into, transfer_handler done) = 0;
     virtual void writeAll(boost::asio::const_buffer from, transfer_handler done) = 0;
-    /// Tells the peer that nothing more will come.
+    /// Shuts down the sending direction, so that the peer reads end of file.
     virtual void finishSending() = 0;
     virtual void close() = 0;
 };
@@ -32,11 +32,12 @@
 std::unique_ptr<byte_stream> tlsStream(
     boost::asio::ip::tcp::socket socket, boost::asio::ssl::context& context);
 
-/// Without these options a peer that has lost its power, or is behind a partition, shows only as silence:
-/// sends are then given up after some seconds, and an idle connection is probed.
+/// Disables Nagle's algorithm and enables detection of peers that lost power or are behind a network
+/// partition and so never close their connection: unacknowledged data fails the connection after a few
+/// seconds, and idle connections are probed.
 void setSocketOptions(boost::asio::ip::tcp::socket& socket);
 
-/// "host:port" as numbers; port 80 if there is none. The host is an IP address: no names are looked up.
+/// Parses "host:port". The port defaults to 80. The host must be an IP address; names are not resolved.
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view address, boost::system::error_code& error);
 
 } // namespace yuccachute
--- a/libs/http/src/client.cpp
+++ b/libs/http/src/client.cpp
@@ -22,28 +22,28 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 8u << 10;
-/// Larger heads than any server of ours sends.
-constexpr std::uint32_t mostHeadBytes = 64u << 10;
-/// A kept connection is left alone so long before the peer closes it: a request that crosses the close is
-/// lost.
-constexpr milliseconds closeMargin { 500 };
-
-/// One connection to a server, with what has been read of it.
+constexpr std::size_t readBufferBytes = 8u << 10;
+/// Larger than the response headers of any server this client is used with.
+constexpr std::uint32_t maxHeadBytes = 64u << 10;
+/// An idle connection is not reused this close to the end of the peer's keep-alive timeout, because a request
+/// that is in transit when the peer closes the connection is lost.
+constexpr milliseconds keepAliveMargin { 500 };
+
+/// Client side of one connection.
 struct server_connection {
     explicit server_connection(event_loop& loop)
         : socket(loop.context())
-        , expiry(loop)
+        , idleTimer(loop)
     {
     }
 
     tcp::socket socket;
-    std::unique_ptr<byte_stream> stream; ///< Takes over the socket once it is connected.
-    std::array<char, readBytes> space;
+    std::unique_ptr<byte_stream> stream; ///< Owns the socket once it is connected.
+    std::array<char, readBufferBytes> readBuffer;
     std::string address;
-    loop_timer expiry; ///< While it is idle.
+    loop_timer idleTimer; ///< Closes the connection when it has been idle for too long.
     bool closed = false;
-    /// Who gets what is read. Null while the connection is idle: anything that comes then ends it.
+    /// Receives the input. Null while the connection is idle; any input then closes it.
     std::function<void(const error_code&, std::string_view)> reader;
     bool reading = false;
 
@@ -51,8 +51,8 @@
     {
         closed = true;
         reader = nullptr;
-        expiry.cancel();
-        error_code ignored; // Nothing can be done about a failed close.
+        idleTimer.cancel();
+        error_code ignored; // A failed close cannot be handled.
         if (stream)
             stream->close();
         else
@@ -62,7 +62,7 @@
 
 using connection_ptr = std::shared_ptr<server_connection>;
 
-std::string requestText(const http_request& request, std::string_view address)
+std::string serializeRequest(const http_request& request, std::string_view address)
 {
     std::string target = request.target;
     if (target.empty()) {
@@ -85,17 +85,17 @@
     return text;
 }
 
-/// Time for which the peer promises to keep an idle connection; the default if it names none.
-milliseconds keptTime(std::string_view keepAlive, milliseconds kept)
+/// Returns how long an idle connection may be reused: maxIdle, or less if the Keep-Alive header says so.
+milliseconds reusableFor(std::string_view keepAlive, milliseconds maxIdle)
 {
     constexpr std::string_view parameter = "timeout=";
     const auto found = keepAlive.find(parameter);
     if (found == std::string_view::npos)
-        return kept;
+        return maxIdle;
     const auto digits = keepAlive.substr(found + parameter.size());
     unsigned seconds = 0;
     std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
-    return std::min(kept, milliseconds { seconds * 1000 } - closeMargin);
+    return std::min(maxIdle, milliseconds { seconds * 1000 } - keepAliveMargin);
 }
 
 class call;
@@ -109,24 +109,24 @@
     {
     }
 
-    connection_ptr takeKept(std::string_view address);
-    void keep(const connection_ptr& connection, milliseconds time);
+    connection_ptr takeIdle(std::string_view address);
+    void addIdle(const connection_ptr& connection, milliseconds time);
     void read(const connection_ptr& connection);
 
     event_loop& loop;
     http_client_options options;
-    std::map<std::string, std::list<connection_ptr>, std::less<>> kept;
+    std::map<std::string, std::list<connection_ptr>, std::less<>> idleConnections;
     std::uint64_t opened = 0;
 };
 
-connection_ptr http_client::impl::takeKept(std::string_view address)
+connection_ptr http_client::impl::takeIdle(std::string_view address)
 {
-    const auto found = kept.find(address);
-    if (found == kept.end())
+    const auto found = idleConnections.find(address);
+    if (found == idleConnections.end())
         return nullptr;
     auto& connections = found->second;
     connection_ptr taken;
-    // The one used last: the others may come to be closed for want of use.
+    // Prefers the connection used last, so that surplus ones reach their idle timeout and are closed.
     while (!connections.empty() && !taken) {
         taken = connections.back();
         connections.pop_back();
@@ -134,20 +134,20 @@
             taken.reset();
     }
     if (connections.empty())
-        kept.erase(found);
+        idleConnections.erase(found);
     if (taken)
-        taken->expiry.cancel();
+        taken->idleTimer.cancel();
     return taken;
 }
 
-void http_client::impl::keep(const connection_ptr& connection, milliseconds time)
+void http_client::impl::addIdle(const connection_ptr& connection, milliseconds time)
 {
-    auto& connections = kept[connection->address];
-    if (time <= milliseconds { 0 } || connections.size() >= options.keptPerAddress)
+    auto& connections = idleConnections[connection->address];
+    if (time <= milliseconds { 0 } || connections.size() >= options.maxIdlePerAddress)
         return connection->close();
     connections.push_back(connection);
     connection->reader = nullptr;
-    connection->expiry.arm(time, [connection] { connection->close(); });
+    connection->idleTimer.arm(time, [connection] { connection->close(); });
     read(connection);
 }
 
@@ -157,15 +157,15 @@
         return;
     connection->reading = true;
     connection->stream->readSome(
-        asio::buffer(connection->space), [connection](const error_code& error, std::size_t count) {
+        asio::buffer(connection->readBuffer), [connection](const error_code& error, std::size_t count) {
             connection->reading = false;
             if (connection->closed)
                 return;
-            // An idle connection has nothing to say: its end, or bytes that belong to no request.
+            // On an idle connection this is the end of file, or bytes that belong to no request.
             if (!connection->reader)
                 return connection->close();
             const auto reader = connection->reader;
-            reader(error, std::string_view(connection->space.data(), count));
+            reader(error, std::string_view(connection->readBuffer.data(), count));
         });
 }
 
@@ -177,23 +177,23 @@
         const client_call_options& options, client_call_events events)
         : m_owner(std::move(owner))
         , m_address(address)
-        , m_request(requestText(request, address))
-        , m_headOnly(request.method == "HEAD")
+        , m_request(serializeRequest(request, address))
+        , m_headRequest(request.method == "HEAD")
         , m_options(options)
         , m_events(std::move(events))
-        , m_deadline(m_owner->loop)
-        , m_silence(m_owner->loop)
+        , m_deadlineTimer(m_owner->loop)
+        , m_inactivityTimer(m_owner->loop)
     {
     }
 
     void start()
     {
-        m_deadline.armAt(m_options.deadline, [weak = weak_from_this()] {
+        m_deadlineTimer.armAt(m_options.deadline, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->fail(failure_kind::timeout, "no whole answer before the deadline");
+                self->fail(failure_kind::timeout, "the response was not complete before the deadline");
         });
         if (!m_options.freshConnection)
-            m_connection = m_owner->takeKept(m_address);
+            m_connection = m_owner->takeIdle(m_address);
         if (m_connection)
             return m_owner->loop.post([self = shared_from_this()] { self->send(); });
         connect();
@@ -211,7 +211,7 @@
     void resume()
     {
         m_paused = false;
-        if (!m_ended && m_sent)
+        if (!m_ended && m_sendStarted)
             m_owner->read(m_connection);
     }
 
@@ -229,14 +229,15 @@
                 self->fail(failure_kind::unavailable, "cannot connect: " + error.message());
             });
         setSocketOptions(m_connection->socket);
-        armSilence(m_options.connectTimeout, "no connection in time");
+        armInactivityTimer(
+            m_options.connectTimeout, "the connection was not established before the connect timeout");
         m_connection->socket.async_connect(endpoint, [self = shared_from_this()](const error_code& result) {
             if (self->m_ended)
                 return;
             if (result)
                 return self->fail(failure_kind::unavailable, "cannot connect: " + result.message());
             ++self->m_owner->opened;
-            self->m_silence.cancel();
+            self->m_inactivityTimer.cancel();
             self->m_connection->stream = plainStream(std::move(self->m_connection->socket));
             self->send();
         });
@@ -246,9 +247,9 @@
     {
         if (m_ended)
             return;
-        if (m_connection->closed) // While the call was queued: not a byte has been sent, so start anew.
+        if (m_connection->closed) // Closed while the call was queued. No byte was sent, so a retry is safe.
             return connect();
-        m_sent = true;
+        m_sendStarted = true;
         m_parser.emplace();
         prepareParser();
         m_connection->reader = [weak = weak_from_this()](const error_code& error, std::string_view bytes) {
@@ -257,20 +258,20 @@
         };
         m_owner->read(m_connection);
         if (m_options.idleTimeout.count() > 0)
-            armSilence(m_options.idleTimeout, "the server fell silent");
+            armInactivityTimer(m_options.idleTimeout, "the server sent no data within the idle timeout");
         m_connection->stream->writeAll(
             asio::buffer(m_request), [self = shared_from_this()](const error_code& error, std::size_t) {
-                self->m_written = !error;
-                // A failed write is told by the reader: an answer may have come before.
+                self->m_requestWritten = !error;
+                // A write error is not reported here but by the reader, which may hold a response already.
             });
     }
 
     void prepareParser()
     {
         m_parser->eager(true);
-        m_parser->header_limit(mostHeadBytes);
+        m_parser->header_limit(maxHeadBytes);
         m_parser->body_limit(std::numeric_limits<std::uint64_t>::max());
-        m_parser->skip(m_headOnly);
+        m_parser->skip(m_headRequest);
     }
 
     void received(const error_code& error, std::string_view bytes)
@@ -279,15 +280,15 @@
         if (m_ended)
             return;
         if (error)
-            return ended(error);
+            return connectionEnded(error);
         if (m_options.idleTimeout.count() > 0)
-            armSilence(m_options.idleTimeout, "the server fell silent");
+            armInactivityTimer(m_options.idleTimeout, "the server sent no data within the idle timeout");
         m_input.append(bytes);
         if (parse() && !m_paused)
             m_owner->read(m_connection);
     }
 
-    /// Returns false once the call has ended.
+    /// Returns false if the call is finished.
     bool parse()
     {
         while (!m_input.empty()) {
@@ -295,18 +296,18 @@
             const auto used = m_parser->put(asio::buffer(m_input), error);
             m_input.erase(0, used);
             if (error && error != beast_http::error::need_more) {
-                fail(failure_kind::incomplete, "the answer is not HTTP: " + error.message());
+                fail(failure_kind::incomplete, "the response is not valid HTTP: " + error.message());
                 return false;
             }
             if (m_parser->is_header_done() && m_parser->get().result_int() / 100 == 1) {
-                m_parser.emplace(); // An interim response, such as 100 Continue; the answer follows.
+                m_parser.emplace(); // An interim response such as 100 Continue; the final one follows.
                 prepareParser();
                 continue;
             }
-            if (!passOn())
+            if (!deliverParsed())
                 return false;
             if (m_parser->is_done()) {
-                whole();
+                complete();
                 return false;
             }
             if (error == beast_http::error::need_more || used == 0)
@@ -315,52 +316,53 @@
         return true;
     }
 
-    bool passOn()
+    bool deliverParsed()
     {
         if (!m_parser->is_header_done())
             return true;
-        if (!m_headPassed) {
-            m_headPassed = true;
+        if (!m_headDelivered) {
+            m_headDelivered = true;
             http_reply head;
             head.status = m_parser->get().result_int();
             for (const auto& field : m_parser->get())
                 head.headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
             if (m_events.head && !m_events.head(head))
-                return refused();
+                return failRejected();
             if (m_ended)
                 return false;
         }
         const auto body = std::exchange(m_parser->get().body(), {});
         if (!body.empty() && m_events.body && !m_events.body(body))
-            return refused();
+            return failRejected();
         return !m_ended;
     }
 
-    bool refused()
+    bool failRejected()
     {
         if (!m_ended)
-            fail(failure_kind::incomplete, "the answer was not accepted");
+            fail(failure_kind::incomplete, "the receiver of the response rejected it");
         return false;
     }
 
-    void ended(const error_code& error)
+    void connectionEnded(const error_code& error)
     {
         const bool unframed = m_parser->is_header_done() && m_parser->need_eof();
         if (error == asio::error::eof && unframed && m_options.acceptUnframed)
-            return whole();
+            return complete();
         const bool begun = m_parser->got_some();
-        fail(failure_kind::incomplete, (begun ? "the answer was cut: " : "no answer: ") + error.message());
+        fail(failure_kind::incomplete,
+            (begun ? "the response was truncated: " : "no answer: ") + error.message());
     }
 
-    void whole()
+    void complete()
     {
-        const bool reusable = m_written && m_input.empty() && m_parser->get().keep_alive()
+        const bool reusable = m_requestWritten && m_input.empty() && m_parser->get().keep_alive()
             && !m_parser->need_eof() && !m_connection->closed;
         const auto keepAlive = m_parser->get()[beast_http::field::keep_alive];
-        const auto time = keptTime({ keepAlive.data(), keepAlive.size() }, m_owner->options.keptFor);
+        const auto time = reusableFor({ keepAlive.data(), keepAlive.size() }, m_owner->options.maxIdleTime);
         end();
         if (reusable)
-            m_owner->keep(m_connection, time);
+            m_owner->addIdle(m_connection, time);
         else
             m_connection->close();
         if (const auto report = std::exchange(m_events.whole, nullptr))
@@ -372,7 +374,7 @@
         if (m_ended)
             return;
         const auto self = shared_from_this();
-        const bool sent = m_sent;
+        const bool sent = m_sendStarted;
         const auto report = std::move(m_events.failed);
         cancel();
         if (!report)
@@ -384,13 +386,13 @@
     void end()
     {
         m_ended = true;
-        m_deadline.cancel();
-        m_silence.cancel();
+        m_deadlineTimer.cancel();
+        m_inactivityTimer.cancel();
     }
 
-    void armSilence(milliseconds time, const char* message)
+    void armInactivityTimer(milliseconds time, const char* message)
     {
-        m_silence.arm(time, [weak = weak_from_this(), message] {
+        m_inactivityTimer.arm(time, [weak = weak_from_this(), message] {
             if (const auto self = weak.lock())
                 self->fail(failure_kind::timeout, message);
         });
@@ -399,29 +401,29 @@
     std::shared_ptr<http_client::impl> m_owner;
     std::string m_address;
     std::string m_request;
-    bool m_headOnly;
+    bool m_headRequest;
     client_call_options m_options;
     client_call_events m_events;
-    loop_timer m_deadline;
-    loop_timer m_silence;
+    loop_timer m_deadlineTimer;
+    loop_timer m_inactivityTimer;
     connection_ptr m_connection;
     std::optional<beast_http::response_parser<beast_http::string_body>> m_parser;
     std::string m_input;
-    bool m_sent = false; ///< The first byte may have been handed to the network.
-    bool m_written = false;
-    bool m_headPassed = false;
+    bool m_sendStarted = false; ///< Set before the first write; from then on the request may have run.
+    bool m_requestWritten = false;
+    bool m_headDelivered = false;
     bool m_paused = false;
     bool m_ended = false;
 };
 
-/// What the caller holds: dropping it cancels the call.
-class call_owner final : public client_call {
+/// Handle given to the caller. Destroying it cancels the call.
+class call_handle final : public client_call {
 public:
-    explicit call_owner(std::shared_ptr<call> running)
+    explicit call_handle(std::shared_ptr<call> running)
         : m_call(std::move(running))
     {
     }
-    ~call_owner() override { cancel(); }
+    ~call_handle() override { cancel(); }
     void cancel() override
     {
         if (!m_done) {
@@ -431,7 +433,7 @@
     }
     void pause() override { m_call->pause(); }
     void resume() override { m_call->resume(); }
-    /// The call has reported its end.
+    /// Called when the call has reported its outcome; afterwards cancel() has no effect.
     void finished() { m_done = true; }
 
 private:
@@ -448,7 +450,7 @@
 
 http_client::~http_client()
 {
-    for (const auto& [address, connections] : m_impl->kept) {
+    for (const auto& [address, connections] : m_impl->idleConnections) {
         for (const auto& connection : connections)
             connection->close();
     }
@@ -457,8 +459,8 @@
 std::shared_ptr<client_call> http_client::start(std::string_view address, const http_request& request,
     const client_call_options& options, client_call_events events)
 {
-    // The owner must not close a connection that went back among the kept ones.
-    const auto handle = std::make_shared<std::weak_ptr<call_owner>>();
+    // Once the call is finished, its connection may be idle in the pool: the handle must not close it then.
+    const auto handle = std::make_shared<std::weak_ptr<call_handle>>();
     const auto finished = [handle] {
         if (const auto owner = handle->lock())
             owner->finished();
@@ -474,7 +476,7 @@
             report(error);
     };
     const auto running = std::make_shared<call>(m_impl, address, request, options, std::move(events));
-    const auto owner = std::make_shared<call_owner>(running);
+    const auto owner = std::make_shared<call_handle>(running);
     *handle = owner;
     running->start();
     return owner;
@@ -483,14 +485,14 @@
 void http_client::fetch(std::string_view address, const http_request& request,
     const client_call_options& options, std::function<void(result<http_reply>)> done)
 {
-    // The handle is kept by the call's own callbacks, which are dropped at its end.
+    // The callbacks of the call own the handle. They are released when the call finishes.
     struct running_call {
         std::shared_ptr<client_call> handle;
         http_reply reply;
     };
     const auto running = std::make_shared<running_call>();
     const auto end = [owner = m_impl, running, done = std::move(done)](result<http_reply> outcome) {
-        // Dropped outside of its own step.
+        // Destroyed from the loop, because the call is still running its own callback here.
         owner->loop.post([handle = std::move(running->handle)] {});
         done(std::move(outcome));
     };
--- a/libs/http/src/listener.cpp
+++ b/libs/http/src/listener.cpp
@@ -23,15 +23,16 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 8u << 10;
-/// What a caller may send ahead of its answer before it is read no further.
-constexpr std::size_t mostBytesAhead = 64u << 10;
-/// How long a connection is kept after its last answer for the peer to close it first. Closing with unread
-/// bytes resets the connection, and a reset can destroy an answer that the peer has not read yet.
-constexpr milliseconds lingerTime { 1000 };
-constexpr milliseconds acceptPause { 50 };
-
-std::string headText(unsigned status, const http_headers& headers)
+constexpr std::size_t readBufferBytes = 8u << 10;
+/// Limit on unparsed pipelined input; above it the connection is not read until a response is written.
+constexpr std::size_t maxReadAheadBytes = 64u << 10;
+/// Time allowed for the peer to close the connection after its last response. Closing a socket with unread
+/// input sends a reset, and a reset can discard response bytes that the peer has not read yet.
+constexpr milliseconds lingerTimeout { 1000 };
+/// Delay before accepting again after a failure, usually a lack of file descriptors.
+constexpr milliseconds acceptRetryDelay { 50 };
+
+std::string formatResponseHead(unsigned status, const http_headers& headers)
 {
     const auto reason = beast_http::obsolete_reason(static_cast<beast_http::status>(status));
     std::string text = "HTTP/1.1 " + std::to_string(status) + ' ';
@@ -56,8 +57,8 @@
     return request;
 }
 
-/// Status that answers what the parser found wrong.
-unsigned statusOf(const error_code& error)
+/// Maps a parse error to the status code of the response.
+unsigned statusForParseError(const error_code& error)
 {
     if (error == beast_http::error::header_limit || error == beast_http::error::buffer_overflow)
         return 431;
@@ -76,21 +77,21 @@
         , options(std::move(given))
         , callback(std::move(onRequest))
         , acceptor(loop.context())
-        , pause(loop)
+        , acceptRetryTimer(loop)
         , tls(asio::ssl::context::tls_server)
     {
     }
 
     void listen();
     void accept();
-    void accepted(tcp::socket socket);
+    void startConnection(tcp::socket socket);
     void remove(const std::shared_ptr<connection>& gone);
 
     event_loop& loop;
     http_listener_options options;
     handler callback;
     tcp::acceptor acceptor;
-    loop_timer pause;
+    loop_timer acceptRetryTimer;
     asio::ssl::context tls;
     std::set<std::shared_ptr<connection>> connections;
     std::size_t exchanges = 0;
@@ -101,8 +102,8 @@
 
 namespace {
 
-/// One connection of a caller: reads requests one after the other and writes their answers. It goes on
-/// reading while an answer is under way, to notice that the caller has gone.
+/// Server side of one connection. Handles its requests one at a time. It keeps reading while a response is
+/// pending, in order to detect that the caller has disconnected.
 class connection : public std::enable_shared_from_this<connection> {
 public:
     connection(std::shared_ptr<http_listener::impl> owner, std::unique_ptr<byte_stream> stream)
@@ -126,34 +127,34 @@
     void close();
     void drain()
     {
-        if (!m_exchanging && !requestBegun())
+        if (!m_exchangeActive && !requestStarted())
             close();
     }
 
-    // What an exchange does; `exchange` tells whether it is still the current one.
-    bool current(std::uint64_t exchange) const { return m_exchanging && exchange == m_exchangeId; }
-    bool unanswered(std::uint64_t exchange) const { return current(exchange) && !m_answered; }
+    // Interface for `exchange`. The id identifies an exchange; calls of one that is not current are ignored.
+    bool current(std::uint64_t exchange) const { return m_exchangeActive && exchange == m_exchangeId; }
+    bool awaitingResponse(std::uint64_t exchange) const { return current(exchange) && !m_responseQueued; }
     void send(http_reply reply);
     void startStream(unsigned status, const http_headers& headers, std::optional<std::uint64_t> length);
     void write(std::string_view piece);
     void finish();
-    std::size_t unsentBytes() const { return m_out.size() + m_writing.size(); }
+    std::size_t unsentBytes() const { return m_pendingOutput.size() + m_outputInFlight.size(); }
     void onDrained(std::function<void()> drained);
-    void onCallerGone(std::function<void()> gone) { m_callerGone = std::move(gone); }
+    void onCallerGone(std::function<void()> gone) { m_onCallerGone = std::move(gone); }
 
 private:
-    bool requestBegun() const { return !m_input.empty() || (m_parser && m_parser->got_some()); }
+    bool requestStarted() const { return !m_input.empty() || (m_parser && m_parser->got_some()); }
     void armTimer(milliseconds time);
     void timedOut();
     void awaitRequest();
     void read();
     void parse();
-    void deliver();
-    void refuse(unsigned status, std::string_view message);
+    void dispatchRequest();
+    void rejectRequest(unsigned status, std::string_view message);
     void queue(std::string_view text);
     void flush();
-    void answered();
-    void linger();
+    void responseWritten();
+    void startLinger();
 
     using parser_base = beast_http::request_parser<beast_http::string_body>;
     struct parser : parser_base {
@@ -164,22 +165,22 @@
     std::unique_ptr<byte_stream> m_stream;
     loop_timer m_timer;
     std::unique_ptr<parser> m_parser;
-    std::array<char, readBytes> m_space;
-    std::string m_input; ///< Received and not parsed yet.
-    std::string m_out; ///< To be written after m_writing.
-    std::string m_writing;
-    std::function<void()> m_callerGone;
-    std::function<void()> m_drained;
+    std::array<char, readBufferBytes> m_readBuffer;
+    std::string m_input; ///< Received, not parsed yet.
+    std::string m_pendingOutput; ///< Queued behind m_outputInFlight.
+    std::string m_outputInFlight;
+    std::function<void()> m_onCallerGone;
+    std::function<void()> m_onDrained;
     std::uint64_t m_exchangeId = 0;
-    bool m_exchanging = false;
+    bool m_exchangeActive = false;
     bool m_reading = false;
-    bool m_headOnly = false; ///< The answer to a HEAD request has no body.
+    bool m_headRequest = false; ///< The response to a HEAD request has no body.
     bool m_chunked = false;
-    bool m_keep = true;
-    bool m_answered = false; ///< The current answer is queued whole.
+    bool m_keepAlive = true;
+    bool m_responseQueued = false; ///< The current response is completely queued.
     bool m_lingering = false;
     bool m_closed = false;
-    bool m_continued = false; ///< "100 Continue" was sent.
+    bool m_continueSent = false; ///< "100 Continue" was sent.
 };
 
 class exchange final : public http_exchange {
@@ -194,8 +195,8 @@
 
     ~exchange() override
     {
-        // A request whose handler has dropped it can get no answer any more.
-        if (m_connection->unanswered(m_id))
+        // The handler released the exchange without finishing the response, so none can follow.
+        if (m_connection->awaitingResponse(m_id))
             m_connection->close();
     }
 
@@ -267,10 +268,10 @@
 
 void connection::timedOut()
 {
-    const bool midRequest = !m_exchanging && !m_lingering && requestBegun();
+    const bool midRequest = !m_exchangeActive && !m_lingering && requestStarted();
     if (!midRequest)
         return close();
-    refuse(408, "the request took too long to arrive");
+    rejectRequest(408, "the request was not received before the header timeout");
 }
 
 void connection::close()
@@ -281,15 +282,15 @@
     const auto self = shared_from_this();
     m_stream->close();
     m_timer.cancel();
-    m_drained = nullptr;
-    const auto gone = std::exchange(m_callerGone, nullptr);
-    const bool unanswered = m_exchanging && !m_answered;
-    if (m_exchanging) {
-        m_exchanging = false;
+    m_onDrained = nullptr;
+    const auto gone = std::exchange(m_onCallerGone, nullptr);
+    const bool awaitingResponse = m_exchangeActive && !m_responseQueued;
+    if (m_exchangeActive) {
+        m_exchangeActive = false;
         --m_owner->exchanges;
     }
     m_owner->remove(self);
-    if (unanswered && gone)
+    if (awaitingResponse && gone)
         m_owner->loop.post(gone);
 }
 
@@ -300,24 +301,24 @@
     m_parser->eager(true);
     m_parser->header_limit(static_cast<std::uint32_t>(limits.maxHeaderBytes));
     m_parser->body_limit(limits.maxBodyBytes);
-    m_continued = false;
+    m_continueSent = false;
     armTimer(limits.idleTimeout);
 }
 
 void connection::read()
 {
-    if (m_reading || m_closed || m_input.size() > mostBytesAhead)
+    if (m_reading || m_closed || m_input.size() > maxReadAheadBytes)
         return;
     m_reading = true;
     m_stream->readSome(
-        asio::buffer(m_space), [self = shared_from_this()](const error_code& error, std::size_t count) {
+        asio::buffer(m_readBuffer), [self = shared_from_this()](const error_code& error, std::size_t count) {
             self->m_reading = false;
             if (self->m_closed)
                 return;
             if (error)
                 return self->close();
             if (!self->m_lingering)
-                self->m_input.append(self->m_space.data(), count);
+                self->m_input.append(self->m_readBuffer.data(), count);
             self->parse();
             self->read();
         });
@@ -325,20 +326,20 @@
 
 void connection::parse()
 {
-    while (!m_exchanging && !m_lingering && !m_closed && !m_input.empty()) {
+    while (!m_exchangeActive && !m_lingering && !m_closed && !m_input.empty()) {
         if (!m_parser->is_header_done() && !m_parser->got_some())
             armTimer(m_owner->options.limits.headerTimeout);
         error_code error;
         const auto used = m_parser->put(asio::buffer(m_input), error);
         m_input.erase(0, used);
         if (error && error != beast_http::error::need_more)
-            return refuse(statusOf(error), error.message());
+            return rejectRequest(statusForParseError(error), error.message());
         if (m_parser->is_done())
-            return deliver();
+            return dispatchRequest();
         if (m_parser->is_header_done()) {
             armTimer(m_owner->options.limits.headerTimeout);
-            if (!m_continued && m_parser->get()[beast_http::field::expect] == "100-continue") {
-                m_continued = true;
+            if (!m_continueSent && m_parser->get()[beast_http::field::expect] == "100-continue") {
+                m_continueSent = true;
                 queue("HTTP/1.1 100 Continue\r\n\r\n");
             }
         }
@@ -347,14 +348,14 @@
     }
 }
 
-void connection::deliver()
+void connection::dispatchRequest()
 {
     auto message = m_parser->release();
     m_timer.cancel();
-    m_keep = message.keep_alive();
-    m_headOnly = message.method() == beast_http::verb::head;
-    m_exchanging = true;
-    m_answered = false;
+    m_keepAlive = message.keep_alive();
+    m_headRequest = message.method() == beast_http::verb::head;
+    m_exchangeActive = true;
+    m_responseQueued = false;
     ++m_owner->exchanges;
     ++m_exchangeId;
     auto request = toRequest(std::move(message));
@@ -362,12 +363,12 @@
         shared_from_this(), m_exchangeId, std::move(request), std::chrono::steady_clock::now()));
 }
 
-void connection::refuse(unsigned status, std::string_view message)
+void connection::rejectRequest(unsigned status, std::string_view message)
 {
-    m_keep = false;
-    m_exchanging = true;
-    m_answered = false;
-    m_headOnly = false;
+    m_keepAlive = false;
+    m_exchangeActive = true;
+    m_responseQueued = false;
+    m_headRequest = false;
     ++m_owner->exchanges;
     ++m_exchangeId;
     m_input.clear();
@@ -386,20 +387,20 @@
 {
     m_chunked = !length;
     if (m_owner->draining)
-        m_keep = false;
-    auto text = headText(status, headers);
+        m_keepAlive = false;
+    auto text = formatResponseHead(status, headers);
     if (length)
         text += "Content-Length: " + std::to_string(*length) + "\r\n";
     else
         text += "Transfer-Encoding: chunked\r\n";
-    if (!m_keep)
+    if (!m_keepAlive)
         text += "Connection: close\r\n";
     queue(text + "\r\n");
 }
 
 void connection::write(std::string_view piece)
 {
-    if (piece.empty() || m_headOnly)
+    if (piece.empty() || m_headRequest)
         return;
     if (!m_chunked)
         return queue(piece);
@@ -412,71 +413,71 @@
 
 void connection::finish()
 {
-    m_answered = true;
-    m_callerGone = nullptr;
-    if (m_chunked && !m_headOnly)
+    m_responseQueued = true;
+    m_onCallerGone = nullptr;
+    if (m_chunked && !m_headRequest)
         queue("0\r\n\r\n");
     if (unsentBytes() == 0)
-        answered();
+        responseWritten();
 }
 
 void connection::onDrained(std::function<void()> drained)
 {
-    m_drained = std::move(drained);
-    if (unsentBytes() == 0 && m_drained)
-        m_owner->loop.post(std::exchange(m_drained, nullptr));
+    m_onDrained = std::move(drained);
+    if (unsentBytes() == 0 && m_onDrained)
+        m_owner->loop.post(std::exchange(m_onDrained, nullptr));
 }
 
 void connection::queue(std::string_view text)
 {
-    m_out.append(text);
+    m_pendingOutput.append(text);
     flush();
 }
 
 void connection::flush()
 {
-    if (m_closed || !m_writing.empty() || m_out.empty())
+    if (m_closed || !m_outputInFlight.empty() || m_pendingOutput.empty())
         return;
-    m_writing.swap(m_out);
+    m_outputInFlight.swap(m_pendingOutput);
     m_stream->writeAll(
-        asio::buffer(m_writing), [self = shared_from_this()](const error_code& error, std::size_t) {
-            self->m_writing.clear();
+        asio::buffer(m_outputInFlight), [self = shared_from_this()](const error_code& error, std::size_t) {
+            self->m_outputInFlight.clear();
             if (self->m_closed)
                 return;
             if (error)
                 return self->close();
-            if (!self->m_out.empty())
+            if (!self->m_pendingOutput.empty())
                 return self->flush();
-            if (const auto drained = std::exchange(self->m_drained, nullptr))
+            if (const auto drained = std::exchange(self->m_onDrained, nullptr))
                 drained();
-            if (self->m_exchanging && self->m_answered && self->unsentBytes() == 0)
-                self->answered();
+            if (self->m_exchangeActive && self->m_responseQueued && self->unsentBytes() == 0)
+                self->responseWritten();
         });
 }
 
-/// The answer has been handed to the network: the next request may come.
-void connection::answered()
+/// Called when the response is completely written to the socket. Starts the next request.
+void connection::responseWritten()
 {
-    if (!m_exchanging)
+    if (!m_exchangeActive)
         return;
-    m_exchanging = false;
+    m_exchangeActive = false;
     --m_owner->exchanges;
-    if (!m_keep || m_owner->draining)
-        return linger();
+    if (!m_keepAlive || m_owner->draining)
+        return startLinger();
     awaitRequest();
-    // Not from here: the caller of this may be the handler of the request just answered.
+    // Posted to avoid recursion: this may be called from within the handler of the previous request.
     m_owner->loop.post([self = shared_from_this()] {
         self->parse();
         self->read();
     });
 }
 
-void connection::linger()
+void connection::startLinger()
 {
     m_lingering = true;
     m_input.clear();
     m_stream->finishSending();
-    armTimer(lingerTime);
+    armTimer(lingerTimeout);
     read();
 }
 
@@ -505,14 +506,14 @@
         self->accepting = false;
         if (!self->acceptor.is_open())
             return;
-        if (error) // Most likely no descriptor is left: one comes back when a connection ends.
-            return self->pause.arm(acceptPause, [self] { self->accept(); });
-        self->accepted(std::move(socket));
+        if (error) // Most likely out of file descriptors; one becomes free when a connection closes.
+            return self->acceptRetryTimer.arm(acceptRetryDelay, [self] { self->accept(); });
+        self->startConnection(std::move(socket));
         self->accept();
     });
 }
 
-void http_listener::impl::accepted(tcp::socket socket)
+void http_listener::impl::startConnection(tcp::socket socket)
 {
     setSocketOptions(socket);
     auto stream = options.certificateFile.empty() ? plainStream(std::move(socket))
@@ -555,9 +556,9 @@
 
 void http_listener::stopAccepting()
 {
-    error_code ignored; // Nothing can be done about a failed close.
+    error_code ignored; // A failed close cannot be handled.
     m_impl->acceptor.close(ignored);
-    m_impl->pause.cancel();
+    m_impl->acceptRetryTimer.cancel();
 }
 
 void http_listener::closeAfterAnswers()
--- a/libs/http/src/message.cpp
+++ b/libs/http/src/message.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool equalNoCase(std::string_view left, std::string_view right)
+bool equalsIgnoringCase(std::string_view left, std::string_view right)
 {
     auto same = [](unsigned char a, unsigned char b) { return std::tolower(a) == std::tolower(b); };
     return left.size() == right.size() && std::equal(left.begin(), left.end(), right.begin(), same);
@@ -38,7 +38,7 @@
 std::string_view findHeader(const http_headers& headers, std::string_view name)
 {
     for (const auto& [key, value] : headers) {
-        if (equalNoCase(key, name))
+        if (equalsIgnoringCase(key, name))
             return value;
     }
     return {};
--- a/libs/http/tests/test_event_http.cpp
+++ b/libs/http/tests/test_event_http.cpp
@@ -31,7 +31,7 @@
         REQUIRE(::send(m_fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
     }
 
-    /// What has arrived by now; sets closed() at the end of the connection.
+    /// Returns what has arrived so far. Sets closed() at the end of file.
     std::string receive()
     {
         std::string all;
@@ -56,7 +56,7 @@
     bool m_closed = false;
 };
 
-/// A listener that keeps what it is given.
+/// Listener that stores the exchanges it receives.
 struct fixture {
     fixture()
     {
@@ -76,17 +76,17 @@
     std::unique_ptr<http_listener> listener;
 };
 
-constexpr std::string_view simple = "GET /a?b=c HTTP/1.1\r\nHost: h\r\n\r\n";
+constexpr std::string_view simpleRequest = "GET /a?b=c HTTP/1.1\r\nHost: h\r\n\r\n";
 
 } // namespace
 
-TEST_CASE("requests on one connection are answered in order, chunked bodies are read")
+TEST_CASE("pipelined requests are answered in order and chunked bodies are decoded")
 {
     fixture f;
     raw_client client(f.options.port);
     client.send(
         "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    client.send(simple);
+    client.send(simpleRequest);
     f.run();
     REQUIRE(f.exchanges.size() == 1);
     CHECK(f.exchanges[0]->request().body == "abcde");
@@ -104,18 +104,19 @@
     CHECK(f.listener->exchanges() == 0);
 }
 
-// Story: an answer is dropped by its handler right after its end, and the caller gets a cut connection,
-// because the connection was closed before the last bytes had been written.
-TEST_CASE("an exchange that is dropped after its end is still delivered, one without answer is cut")
+// Guards against a truncated response: the handler releases the exchange right after finishing it, and the
+// connection is closed before the last bytes are written.
+TEST_CASE(
+    "an exchange released after finishing is still delivered; one without response closes the connection")
 {
     fixture f;
     raw_client first(f.options.port);
     raw_client second(f.options.port);
-    first.send(simple);
+    first.send(simpleRequest);
     f.run();
     f.exchanges[0]->send({ 200, {}, std::string(50000, 'x') });
     f.exchanges.clear();
-    second.send(simple);
+    second.send(simpleRequest);
     f.run();
     REQUIRE(f.exchanges.size() == 1);
     f.exchanges.clear();
@@ -125,9 +126,9 @@
     CHECK(second.closed());
 }
 
-// Story: a caller hides a second request in the body of a first one; whoever reads the length differently
-// runs a request that nobody sent.
-TEST_CASE("ambiguous lengths are refused and end the connection")
+// Guards against request smuggling: a second request is hidden in the body of the first, and a server that
+// interprets the length differently runs it.
+TEST_CASE("requests with an ambiguous length are rejected and their connection is closed")
 {
     for (const char* fields : { "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
              "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
@@ -146,7 +147,7 @@
     }
 }
 
-TEST_CASE("limits are told by status")
+TEST_CASE("exceeded limits are reported by status code")
 {
     fixture f;
     raw_client longHead(f.options.port);
@@ -164,13 +165,13 @@
     CHECK(idle.closed());
 }
 
-// Story: a caller gives up and closes its connection; the target goes on working for nobody.
-TEST_CASE("a caller that leaves is noticed at once, waiting and streaming")
+// Guards against wasted work: a caller disconnects and the target keeps processing its request.
+TEST_CASE("a disconnected caller is detected immediately, before and during the response")
 {
     for (const bool streaming : { false, true }) {
         fixture f;
         auto client = std::make_unique<raw_client>(f.options.port);
-        client->send(simple);
+        client->send(simpleRequest);
         f.run();
         REQUIRE(f.exchanges.size() == 1);
         bool gone = false;
@@ -189,12 +190,12 @@
     }
 }
 
-TEST_CASE("a draining listener finishes what runs, then closes")
+TEST_CASE("a draining listener finishes running requests, then closes the connections")
 {
     fixture f;
     raw_client busy(f.options.port);
     raw_client idle(f.options.port);
-    busy.send(simple);
+    busy.send(simpleRequest);
     f.run();
     f.listener->stopAccepting();
     f.listener->closeAfterAnswers();
@@ -211,7 +212,7 @@
 
 namespace {
 
-struct observed {
+struct call_recorder {
     std::string body;
     unsigned status = 0;
     bool whole = false;
@@ -231,7 +232,7 @@
     }
 };
 
-client_call_options within(milliseconds time)
+client_call_options withDeadline(milliseconds time)
 {
     client_call_options options;
     options.deadline = std::chrono::steady_clock::now() + time;
@@ -240,7 +241,7 @@
 
 } // namespace
 
-TEST_CASE("the client keeps connections, and a fresh one is taken on demand")
+TEST_CASE("the client reuses connections, and opens a new one on demand")
 {
     fixture f;
     f.listener->setLimits({});
@@ -249,8 +250,8 @@
     http_request request;
     request.target = "/a?";
     for (const bool fresh : { false, false, true }) {
-        observed seen;
-        auto options = within(milliseconds { 1000 });
+        call_recorder seen;
+        auto options = withDeadline(milliseconds { 1000 });
         options.freshConnection = fresh;
         const auto call = client.start(address, request, options, seen.events());
         f.run();
@@ -265,9 +266,9 @@
     CHECK(client.connectionsOpened() == 2);
 }
 
-// Story: a server sends a second answer behind the first one; the next caller on that connection would get it
-// as the answer to its own request.
-TEST_CASE("a connection with bytes behind its answer is not used again")
+// Guards against response mix-up: a server sends a second response after the first, and the next request on
+// that connection would receive it.
+TEST_CASE("a connection with extra bytes after the response is not reused")
 {
     fixture f;
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -278,13 +279,13 @@
     REQUIRE(::listen(fd, 8) == 0);
     socklen_t length = sizeof address;
     ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length);
-    const auto where = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
+    const auto serverAddress = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n";
 
     http_client client(f.loop, {});
-    const auto ask = [&](std::string_view reply, std::string_view later) {
-        observed seen;
-        const auto call = client.start(where, {}, within(milliseconds { 1000 }), seen.events());
+    const auto callRawServer = [&](std::string_view reply, std::string_view later) {
+        call_recorder seen;
+        const auto call = client.start(serverAddress, {}, withDeadline(milliseconds { 1000 }), seen.events());
         f.run();
         const int peer = ::accept(fd, nullptr, nullptr);
         REQUIRE(peer >= 0);
@@ -297,25 +298,25 @@
         f.run();
         return seen;
     };
-    CHECK(ask(answer + "ok" + answer + "xx", "").body == "ok");
-    CHECK(ask(answer + "ok", answer + "yy").body == "ok");
-    CHECK(ask("HTTP/1.1 100 Continue\r\n\r\n" + answer + "ok", "").body == "ok");
+    CHECK(callRawServer(answer + "ok" + answer + "xx", "").body == "ok");
+    CHECK(callRawServer(answer + "ok", answer + "yy").body == "ok");
+    CHECK(callRawServer("HTTP/1.1 100 Continue\r\n\r\n" + answer + "ok", "").body == "ok");
     CHECK(client.connectionsOpened() == 3);
-    const auto cut = ask("HTTP/1.1 200 OK\r\n\r\nhalf", "");
+    const auto cut = callRawServer("HTTP/1.1 200 OK\r\n\r\nhalf", "");
     CHECK(!cut.whole);
     REQUIRE(cut.error);
     CHECK(cut.error->ran == verdict::may_have_run);
     ::close(fd);
 }
 
-TEST_CASE("a cancelled call is noticed by the server, a silent one ends at its limit")
+TEST_CASE("the server detects a cancelled call, and a call without a response ends at the idle timeout")
 {
     fixture f;
     f.listener->setLimits({});
     http_client client(f.loop, {});
     const auto address = "127.0.0.1:" + std::to_string(f.options.port);
-    observed first;
-    auto call = client.start(address, {}, within(milliseconds { 1000 }), first.events());
+    call_recorder first;
+    auto call = client.start(address, {}, withDeadline(milliseconds { 1000 }), first.events());
     f.run();
     REQUIRE(f.exchanges.size() == 1);
     bool gone = false;
@@ -324,8 +325,8 @@
     f.run();
     CHECK(gone);
     CHECK(!first.error);
-    observed second;
-    auto options = within(milliseconds { 1000 });
+    call_recorder second;
+    auto options = withDeadline(milliseconds { 1000 });
     options.idleTimeout = milliseconds { 30 };
     call = client.start(address, {}, options, second.events());
     f.run(80);
--- a/libs/http/tests/test_http.cpp
+++ b/libs/http/tests/test_http.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-int listenAnywhere(std::uint16_t& port)
+int listenOnFreePort(std::uint16_t& port)
 {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
@@ -29,27 +29,27 @@
 std::uint16_t freePort()
 {
     std::uint16_t port = 0;
-    ::close(listenAnywhere(port));
+    ::close(listenOnFreePort(port));
     return port;
 }
 
-http_call_options within(milliseconds time)
+http_call_options withDeadline(milliseconds time)
 {
     http_call_options options;
     options.deadline = std::chrono::steady_clock::now() + time;
     return options;
 }
 
-std::string local(std::uint16_t port)
+std::string localAddress(std::uint16_t port)
 {
     return "127.0.0.1:" + std::to_string(port);
 }
 
-/// Accepts connections, reads once from each, answers with the given bytes and closes. Counts them.
+/// Server that reads once from each connection, sends the given bytes and closes. Counts the requests.
 class raw_peer {
 public:
     explicit raw_peer(std::string answer)
-        : m_fd(listenAnywhere(m_port))
+        : m_fd(listenOnFreePort(m_port))
         , m_thread([this, answer] { serve(answer); })
     {
     }
@@ -61,7 +61,7 @@
         ::close(m_fd);
     }
 
-    std::string address() const { return local(m_port); }
+    std::string address() const { return localAddress(m_port); }
     int requests() const { return m_requests; }
 
 private:
@@ -93,7 +93,7 @@
 
 } // namespace
 
-TEST_CASE("whole and streamed replies arrive whole")
+TEST_CASE("complete and streamed responses are received completely")
 {
     http_server_options options;
     options.port = freePort();
@@ -111,59 +111,59 @@
     auto request = post("/echo", "hello");
     request.query = "a=b%20c";
     request.headers.emplace_back("X-Id", "7");
-    auto whole = httpCall(local(options.port), request, within(milliseconds { 5000 }));
+    auto whole = httpCall(localAddress(options.port), request, withDeadline(milliseconds { 5000 }));
     REQUIRE(whole);
     CHECK(whole.value().body == "helloa=b%20c");
     CHECK(findHeader(whole.value().headers, "X-Seen") == "7");
     CHECK(queryParameter("x=1&a=b%20c", "a") == "b c");
 
     std::string collected;
-    auto options2 = within(milliseconds { 5000 });
+    auto options2 = withDeadline(milliseconds { 5000 });
     options2.onBody = [&](std::string_view piece) {
         collected += piece;
         return true;
     };
-    auto streamed = httpCall(local(options.port), post("/stream", "{}"), options2);
+    auto streamed = httpCall(localAddress(options.port), post("/stream", "{}"), options2);
     REQUIRE(streamed);
     CHECK(collected.substr(collected.size() - 10) == "data: 99\n\n");
 
-    auto tooLarge
-        = httpCall(local(options.port), post("/echo", std::string(2000, 'x')), within(milliseconds { 5000 }));
+    auto tooLarge = httpCall(localAddress(options.port), post("/echo", std::string(2000, 'x')),
+        withDeadline(milliseconds { 5000 }));
     REQUIRE(tooLarge);
     CHECK(tooLarge.value().status == 413);
 
-    // A body whose end could be read in two ways is refused; test_event_http has the ways of smuggling.
+    // An ambiguous body length is rejected. test_event_http covers the variants of request smuggling.
     auto ambiguous = post("/echo", "5\r\nhello\r\n0\r\n\r\n");
     ambiguous.headers.emplace_back("Transfer-Encoding", "chunked");
     ambiguous.headers.emplace_back("Content-Length", "15");
-    auto refused = httpCall(local(options.port), ambiguous, within(milliseconds { 5000 }));
+    auto refused = httpCall(localAddress(options.port), ambiguous, withDeadline(milliseconds { 5000 }));
     REQUIRE(refused);
     CHECK(refused.value().status == 400);
 }
 
-TEST_CASE("a refused connection was not run")
+TEST_CASE("a call to a port without listener fails as not_run")
 {
-    const auto failed = httpCall(local(freePort()), post("/", "x"), within(milliseconds { 2000 }));
+    const auto failed
+        = httpCall(localAddress(freePort()), post("/", "x"), withDeadline(milliseconds { 2000 }));
     REQUIRE(!failed);
     CHECK(failed.error().ran == verdict::not_run);
-    auto options = within(milliseconds { 2000 });
+    auto options = withDeadline(milliseconds { 2000 });
     options.onBody = [](std::string_view) { return true; };
-    const auto streamed = httpCall(local(freePort()), post("/", "x"), options);
+    const auto streamed = httpCall(localAddress(freePort()), post("/", "x"), options);
     REQUIRE(!streamed);
     CHECK(streamed.error().ran == verdict::not_run);
 }
 
-// Story: a caller orders a payment through a plain service; the service reads the request, runs it and dies
-// before it answers. The payment is made twice, because the HTTP library repeats a request by itself when a
-// reused connection closes without an answer.
-TEST_CASE("a connection that closes without an answer is sent once and may have run")
+// Guards against duplicate execution: a server runs a request, such as a payment, and crashes before it
+// responds. An HTTP library that retries when a reused connection closes without a response runs it twice.
+TEST_CASE("a request whose connection closes without a response is sent once and may have run")
 {
     raw_peer peer("");
     for (int i = 0; i < 5; ++i) {
-        const auto failed = httpCall(peer.address(), post("/pay", "x"), within(milliseconds { 2000 }));
+        const auto failed = httpCall(peer.address(), post("/pay", "x"), withDeadline(milliseconds { 2000 }));
         REQUIRE(!failed);
         CHECK(failed.error().ran == verdict::may_have_run);
-        auto options = within(milliseconds { 2000 });
+        auto options = withDeadline(milliseconds { 2000 });
         options.onBody = [](std::string_view) { return true; };
         const auto streamed = httpCall(peer.address(), post("/pay", "x"), options);
         REQUIRE(!streamed);
@@ -172,26 +172,26 @@
     CHECK(peer.requests() == 10);
 }
 
-// Story: a caller of a plain service waits for seconds and gets an error, though the whole answer arrived at
-// once: the library overlooks a last chunk that comes in one segment with the data before it.
-TEST_CASE("a chunked JSON answer in one segment is whole")
+// Guards against a client that overlooks the final chunk when it arrives in one segment with the data before
+// it: the caller waits for seconds and gets an error although the response is complete.
+TEST_CASE("a chunked JSON response in one segment is complete")
 {
     raw_peer peer("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: "
                   "chunked\r\n\r\n7\r\n{\"a\":1}\r\n0\r\n\r\n");
-    const auto whole = httpCall(peer.address(), post("/", "x"), within(milliseconds { 5000 }));
+    const auto whole = httpCall(peer.address(), post("/", "x"), withDeadline(milliseconds { 5000 }));
     REQUIRE(whole);
     CHECK(whole.value().body == "{\"a\":1}");
 }
 
-// Story: a caller receives half of an answer as if it were the whole. The target died in the middle, and an
-// answer without length or chunks ends for the library where the connection ends.
-TEST_CASE("an answer that is cut is never taken for whole")
+// Guards against reporting a truncated response as complete: the target crashed while sending, and HTTP ends
+// a response without length or chunking where the connection ends.
+TEST_CASE("a truncated response is never reported as complete")
 {
     const std::string head = "HTTP/1.1 200 OK\r\n";
     for (const std::string& answer : { head + "Content-Length: 10\r\n\r\nhalf",
              head + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", head + "\r\nhalf" }) {
         raw_peer peer(answer);
-        auto options = within(milliseconds { 2000 });
+        auto options = withDeadline(milliseconds { 2000 });
         const auto whole = httpCall(peer.address(), post("/", "x"), options);
         REQUIRE(!whole);
         CHECK(whole.error().ran == verdict::may_have_run);
@@ -202,25 +202,25 @@
     }
 }
 
-TEST_CASE("a silent peer is left at the deadline, and an abandoned call at once")
+TEST_CASE("a call to an unresponsive peer ends at the deadline, a cancelled call immediately")
 {
     std::uint16_t port = 0;
-    const int silent = listenAnywhere(port);
-    const auto late = httpCall(local(port), post("/", "x"), within(milliseconds { 100 }));
+    const int unresponsivePeer = listenOnFreePort(port);
+    const auto late = httpCall(localAddress(port), post("/", "x"), withDeadline(milliseconds { 100 }));
     REQUIRE(!late);
     CHECK(late.error().kind == failure_kind::timeout);
     CHECK(late.error().ran == verdict::may_have_run);
     std::atomic<bool> abandon { true };
-    auto options = within(milliseconds { 60000 });
+    auto options = withDeadline(milliseconds { 60000 });
     options.abandon = &abandon;
     options.onBody = [](std::string_view) { return true; };
-    const auto abandoned = httpCall(local(port), post("/", "x"), options);
+    const auto abandoned = httpCall(localAddress(port), post("/", "x"), options);
     REQUIRE(!abandoned);
     CHECK(abandoned.error().kind == failure_kind::cancelled);
-    ::close(silent);
+    ::close(unresponsivePeer);
 }
 
-TEST_CASE("a polling client keeps its connection and survives the peer's restart")
+TEST_CASE("a polling client reuses its connection and reconnects after a restart of the peer")
 {
     http_server_options options;
     options.port = freePort();
@@ -229,7 +229,7 @@
         sink.send({ 200, {}, request.path + std::to_string(++served) });
     };
     auto server = std::make_unique<http_server>(options, handler);
-    polling_client client(local(options.port));
+    polling_client client(localAddress(options.port));
     for (int i = 1; i <= 3; ++i)
         CHECK(client.get("/load", milliseconds { 2000 }).value().body == "/load" + std::to_string(i));
     server.reset();
