--- a/libs/rpc/src/client.cpp
+++ b/libs/rpc/src/client.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int keepaliveMs = 2000;
-constexpr int mostReconnectBackoffMs = 1000;
+constexpr int maxReconnectBackoffMs = 1000;
 
 job_view toView(const peer::JobReply& reply)
 {
@@ -58,11 +58,11 @@
         arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, keepaliveMs);
         arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, keepaliveMs);
         arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
-        // Probes of the bandwidth cost more bytes than grants, which are far from filling any window.
+        // Bandwidth probes would cost more bytes than the grants, which do not nearly fill the window.
         arguments.SetInt(GRPC_ARG_HTTP2_BDP_PROBE, 0);
-        arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, mostReconnectBackoffMs);
-        arguments.SetMaxReceiveMessageSize(mostMessageBytes);
-        arguments.SetMaxSendMessageSize(mostMessageBytes);
+        arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, maxReconnectBackoffMs);
+        arguments.SetMaxReceiveMessageSize(maxMessageBytes);
+        arguments.SetMaxSendMessageSize(maxMessageBytes);
         found = grpc::CreateCustomChannel(std::string(address), credentials, arguments);
         return found;
     }
@@ -101,12 +101,12 @@
 }
 
 result<gossip_message> rpc_client::gossip(
-    std::string_view address, const gossip_message& news, milliseconds timeout)
+    std::string_view address, const gossip_message& message, milliseconds timeout)
 {
     grpc::ClientContext context;
     setTimeout(context, timeout);
     peer::Digest request;
-    toWire(news, request);
+    toWire(message, request);
     peer::Digest reply;
     if (const auto status = m_impl->stub<peer::Peer>(address)->Gossip(&context, request, &reply);
         !status.ok())
--- a/libs/rpc/src/link.cpp
+++ b/libs/rpc/src/link.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Keeps itself alive until gRPC's last callback, whatever its owner does.
+/// Client side of a grant stream. Keeps itself alive until gRPC's last callback, even if its handle is
+/// destroyed.
 class grant_link final : public dispatcher_link,
                          public grpc::ClientBidiReactor<peer::Envelope, peer::Envelope>,
                          public std::enable_shared_from_this<grant_link> {
@@ -31,7 +32,7 @@
         m_call = m_calls->add([link = shared_from_this()] { link->close(); });
         m_stub->async()->Exchange(m_context.get(), this);
         StartRead(&m_incoming);
-        AddHold(); // Writes are started from other threads.
+        AddHold(); // Required by gRPC because writes are started outside of its callbacks.
         StartCall();
     }
 
@@ -42,7 +43,7 @@
             if (m_context)
                 m_context->TryCancel();
         }
-        dropHold();
+        releaseHold();
     }
 
     void send(envelope message) override
@@ -59,7 +60,7 @@
     void OnReadDone(bool ok) override
     {
         if (!ok)
-            return dropHold();
+            return releaseHold();
         m_received(fromWire(m_incoming, std::chrono::steady_clock::now()));
         m_incoming.Clear();
         StartRead(&m_incoming);
@@ -75,7 +76,7 @@
 
     void OnDone(const grpc::Status&) override
     {
-        dropAlive();
+        markClosed();
         m_closed();
         const auto self = std::move(m_self);
         releaseChannel();
@@ -83,7 +84,7 @@
     }
 
 private:
-    /// Called with the lock held.
+    /// m_mutex must be held.
     void writePending()
     {
         if (m_writing || m_pending.empty() || !m_alive)
@@ -94,7 +95,7 @@
         StartWrite(&m_outgoing);
     }
 
-    /// The stub and the context hold the channel, and the owner may hold this object for long.
+    /// The stub and the context reference the channel, and the handle may keep this object alive for long.
     void releaseChannel()
     {
         const std::scoped_lock lock(m_mutex);
@@ -102,23 +103,23 @@
         m_stub.reset();
     }
 
-    void dropAlive()
+    void markClosed()
     {
         const std::scoped_lock lock(m_mutex);
         m_alive = false;
     }
 
-    void dropHold()
+    void releaseHold()
     {
-        dropAlive();
-        if (!m_holdDropped.exchange(true))
+        markClosed();
+        if (!m_holdReleased.exchange(true))
             RemoveHold();
     }
 
     std::shared_ptr<running_calls> m_calls;
     std::uint64_t m_call = 0;
     std::unique_ptr<peer::Peer::Stub> m_stub;
-    std::unique_ptr<grpc::ClientContext> m_context; ///< Nothing after the end.
+    std::unique_ptr<grpc::ClientContext> m_context; ///< Null after OnDone().
     std::function<void(envelope)> m_received;
     std::function<void()> m_closed;
     std::shared_ptr<grant_link> m_self;
@@ -128,17 +129,17 @@
     peer::Envelope m_outgoing;
     bool m_writing = false;
     std::atomic<bool> m_alive { true };
-    std::atomic<bool> m_holdDropped { false };
+    std::atomic<bool> m_holdReleased { false };
 };
 
-/// What the owner holds: the stream ends with it.
-class link_owner final : public dispatcher_link {
+/// Handle given to the caller. Destroying it closes the stream.
+class link_handle final : public dispatcher_link {
 public:
-    explicit link_owner(std::shared_ptr<grant_link> link)
+    explicit link_handle(std::shared_ptr<grant_link> link)
         : m_link(std::move(link))
     {
     }
-    ~link_owner() override { m_link->close(); }
+    ~link_handle() override { m_link->close(); }
     void send(envelope message) override { m_link->send(std::move(message)); }
     bool alive() const override { return m_link->alive(); }
 
@@ -155,7 +156,7 @@
     auto link = std::make_shared<grant_link>(
         std::move(calls), std::move(channel), std::move(received), std::move(closed));
     link->start();
-    return std::make_shared<link_owner>(std::move(link));
+    return std::make_shared<link_handle>(std::move(link));
 }
 
 } // namespace yuccachute
--- a/libs/rpc/src/running_calls.cpp
+++ b/libs/rpc/src/running_calls.cpp
@@ -6,32 +6,32 @@
 {
     const std::scoped_lock lock(m_mutex);
     const auto call = m_next++;
-    m_cancels.emplace(call, std::move(cancel));
+    m_cancelFunctions.emplace(call, std::move(cancel));
     return call;
 }
 
 void running_calls::remove(std::uint64_t call)
 {
-    std::function<void()> dropped; // What it holds goes after the lock.
+    std::function<void()> dropped; // Destroyed after the mutex is unlocked.
     const std::scoped_lock lock(m_mutex);
-    const auto found = m_cancels.find(call);
-    if (found == m_cancels.end())
+    const auto found = m_cancelFunctions.find(call);
+    if (found == m_cancelFunctions.end())
         return;
     dropped = std::move(found->second);
-    m_cancels.erase(found);
-    if (m_cancels.empty())
+    m_cancelFunctions.erase(found);
+    if (m_cancelFunctions.empty())
         m_allEnded.notify_all();
 }
 
 void running_calls::cancelAndWait()
 {
     std::unique_lock lock(m_mutex);
-    const auto cancels = m_cancels;
+    const auto cancels = m_cancelFunctions;
     lock.unlock();
     for (const auto& [call, cancel] : cancels)
         cancel();
     lock.lock();
-    m_allEnded.wait(lock, [this] { return m_cancels.empty(); });
+    m_allEnded.wait(lock, [this] { return m_cancelFunctions.empty(); });
 }
 
 } // namespace yuccachute
--- a/libs/rpc/src/security.h
+++ b/libs/rpc/src/security.h
@@ -6,15 +6,17 @@
 
 namespace yuccachute {
 
-/// Largest message: a submitted job travels whole from the entry to a batch process.
-constexpr int mostMessageBytes = 160 << 20;
+/// Largest message. An entry process sends a submitted job with all its items to a batch process in one
+/// message.
+constexpr int maxMessageBytes = 160 << 20;
 
 std::shared_ptr<grpc::ServerCredentials> serverCredentials(const rpc_security& security);
 std::shared_ptr<grpc::ChannelCredentials> channelCredentials(const rpc_security& security);
 
-/// Carries a failure through a gRPC status.
+/// Encodes a failure as a gRPC status.
 grpc::Status toStatus(const failure& error);
-/// Reads it back. A status that no handler of ours wrote is a broken or late call: it may have run.
+/// Decodes a failure. A status that was not written by toStatus() comes from gRPC itself, for a lost
+/// connection or an expired deadline; then the call may have run.
 failure fromStatus(const grpc::Status& status);
 
 } // namespace yuccachute
--- a/libs/rpc/src/server.cpp
+++ b/libs/rpc/src/server.cpp
@@ -16,7 +16,7 @@
 constexpr int keepaliveMs = 2000;
 constexpr int keepaliveTimeoutMs = 2000;
 
-/// One peer's grant stream. Deleted by gRPC's last callback.
+/// Server side of the grant stream of one peer. Deletes itself in OnDone().
 class grant_session final : public grpc::ServerBidiReactor<peer::Envelope, peer::Envelope> {
 public:
     grant_session(peer_handler& handler, std::uint64_t id)
@@ -25,7 +25,8 @@
         , m_shared(std::make_shared<shared>())
     {
         m_shared->session = this;
-        // The handler may hold the function longer than the session lives: it reaches it through m_shared.
+        // The handler may keep the function longer than the session exists, so it refers to the session only
+        // through m_shared.
         m_handler.sessionOpened(id, [shared = m_shared](envelope message) {
             const std::scoped_lock lock(shared->mutex);
             if (shared->session)
@@ -41,7 +42,7 @@
         m_handler.sessionReceived(m_id, fromWire(m_incoming, std::chrono::steady_clock::now()));
         m_incoming.Clear();
         const std::scoped_lock lock(m_shared->mutex);
-        if (!m_ended) // Nothing may be started once end() has finished the stream.
+        if (!m_ended) // No operation may be started after Finish().
             StartRead(&m_incoming);
     }
 
@@ -63,7 +64,7 @@
         grant_session* session = nullptr;
     };
 
-    /// Called with the lock held.
+    /// The mutex of m_shared must be held.
     void queue(envelope message)
     {
         m_pending.add(std::move(message));
@@ -156,7 +157,7 @@
     std::atomic<std::uint64_t> m_nextSession { 1 };
 };
 
-void fill(const job_view& job, peer::JobReply& reply)
+void fillJobReply(const job_view& job, peer::JobReply& reply)
 {
     reply.set_id(job.id);
     reply.set_service(job.service);
@@ -170,7 +171,7 @@
     reply.set_existed(job.existed);
 }
 
-/// Its calls block on the store, so it is a synchronous service with threads of its own.
+/// A synchronous service with its own threads, because its calls block on the store.
 class jobs_service final : public peer::Jobs::Service {
 public:
     explicit jobs_service(jobs_handler& handler)
@@ -224,7 +225,7 @@
     {
         if (!outcome)
             return toStatus(outcome.error());
-        fill(outcome.value(), reply);
+        fillJobReply(outcome.value(), reply);
         return grpc::Status::OK;
     }
 
@@ -246,8 +247,8 @@
     grpc::ServerBuilder builder;
     int port = 0;
     builder.AddListeningPort(std::string(address), serverCredentials(security), &port);
-    builder.SetMaxReceiveMessageSize(mostMessageBytes);
-    // A peer that was cut off without a word is noticed within seconds, so that its asks do not linger.
+    builder.SetMaxReceiveMessageSize(maxMessageBytes);
+    // Detects an unreachable peer within seconds, so that its slot requests do not stay queued.
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, keepaliveMs);
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, keepaliveTimeoutMs);
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, keepaliveMs / 2);
--- a/libs/rpc/tests/test_rpc.cpp
+++ b/libs/rpc/tests/test_rpc.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Grants every ask with its own id, and remembers sessions.
+/// Grants every slot request, with the id of the request, and records the open sessions.
 class granting_handler final : public peer_handler {
 public:
     void sessionOpened(std::uint64_t session, std::function<void(envelope)> send) override
@@ -38,7 +38,7 @@
         senders.erase(session);
         changed.notify_all();
     }
-    gossip_message gossip(const gossip_message& news) override { return news; }
+    gossip_message gossip(const gossip_message& message) override { return message; }
     follow_reply follow(const follow_request& request) override
     {
         follow_reply reply;
@@ -85,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("grants flow over one stream, and both ends see it close")
+TEST_CASE("grants are delivered over one stream, and both ends are notified when it closes")
 {
     granting_handler handler;
     rpc_server server(address, {}, &handler, nullptr);
@@ -120,7 +120,7 @@
     CHECK(handler.changed.wait_for(serverLock, 20s, [&] { return handler.senders.empty(); }));
 }
 
-TEST_CASE("unary calls carry values, and failures with verdict and time to come back")
+TEST_CASE("unary calls transmit values, and failures with verdict and retry delay")
 {
     granting_handler handler;
     refusing_jobs jobs;
@@ -147,27 +147,27 @@
     CHECK(client.describe("127.0.0.1:1", "c", "j1", 300ms).error().ran == verdict::may_have_run);
 }
 
-// Story: an entry that was told to stop ended with SIGABRT in gRPC instead of code 0. It dropped its client
-// while a grant stream was still ending; the stream's last callback then let go of the last channel, and with
-// it of the queue whose thread it ran on.
-TEST_CASE("a client outlives its streams and calls, so that no callback lets go of the last channel")
+// Guards against a SIGABRT in gRPC while an entry process stops: it destroyed its client while a grant stream
+// was still closing. The last callback of the stream then released the last channel, and with it the
+// completion queue on whose thread the callback ran.
+TEST_CASE("a client outlives its streams and calls, so that no callback releases the last channel")
 {
     for (int round = 0; round < 20; ++round) {
         std::atomic<int> closed { 0 };
         std::atomic<int> answered { 0 };
-        std::shared_ptr<dispatcher_link> keptLonger;
+        std::shared_ptr<dispatcher_link> handleOutlivingClient;
         {
             rpc_client client({});
             auto dropped = client.open(
                 "127.0.0.1:1", [](envelope) {}, [&] { ++closed; });
-            keptLonger = client.open(
+            handleOutlivingClient = client.open(
                 "127.0.0.1:1", [](envelope) {}, [&] { ++closed; });
             client.sync("127.0.0.1:1", {}, 20s, [&](const auto&) { ++answered; });
             dropped.reset();
         }
         REQUIRE(closed == 2);
         REQUIRE(answered == 1);
-        CHECK(!keptLonger->alive());
-        keptLonger->send({});
+        CHECK(!handleOutlivingClient->alive());
+        handleOutlivingClient->send({});
     }
 }
